--- /dev/null
+++ b/nickelmount/__init__.py
@@ -0,0 +1,1 @@
+"""nickelmount: a client-side load balancing agent, and its decisions as a library."""
--- /dev/null
+++ b/nickelmount/agent/__init__.py
@@ -0,0 +1,1 @@
+"""The agent on real sockets, around the decisions of nickelmount.balancer."""
--- a/lilacsill/agent.py
+++ b/nickelmount/agent/agent.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brasshead import interface as q
-from brasshead.logic import Balancer
+from nickelmount.balancer import interface as q
+from nickelmount.balancer.balancer import Balancer
 
-from .backends import Ask, Backends, Exchange, Result
-from .checks import Call
+from .upstream import Ask, Backends, Exchange, Result
+from .request_validation import Call
 from .clock import Clock
 from .discovery import Address, Discovery, Listing
-from .message import Headers
+from .http import Headers
 
 log = logging.getLogger(__name__)
 
--- a/lilacsill/config.py
+++ b/nickelmount/agent/config.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-from brasshead.interface import Discovery, Settings
-from brasshead.settings import SettingsError, settings_from
+from nickelmount.balancer.interface import Discovery, Settings
+from nickelmount.protocol.settings import SettingsError, settings_from
 
 from .clock import Clock
 from .discovery import ANSWER_S, Address, Listing, ListingParser, parse_address
--- a/lilacsill/pool.py
+++ b/nickelmount/agent/connection_pool.py
@@ -6,12 +6,12 @@
 
 from httptools import HttpResponseParser
 
-from brasshead.interface import BackendId
+from nickelmount.balancer.interface import BackendId
 
 from .clock import Clock
 from .connection import Connection
 from .discovery import Member
-from .message import Message, Reader
+from .http import Message, Reader
 
 IDLE_SHARE = 0.7  # of the time after which a backend closes an idle connection; then it is retired here
 # Bytes that belong to no answer come right behind it, a second answer some milliseconds late. Till then a
--- a/lilacsill/discovery.py
+++ b/nickelmount/agent/discovery.py
@@ -14,11 +14,11 @@
 
 from httptools import HttpResponseParser
 
-from brasshead.interface import Backend, State
+from nickelmount.balancer.interface import Backend, State
 
 from .clock import Clock
 from .connection import Connection
-from .message import Reader, Unreadable, request
+from .http import Reader, Unreadable, request
 
 log = logging.getLogger(__name__)
 
--- a/lilacsill/client.py
+++ b/nickelmount/agent/downstream.py
@@ -8,9 +8,9 @@
 
 from httptools import HttpRequestParser
 
-from .checks import Call, Checker
+from .request_validation import Call, Checker
 from .connection import Connection
-from .message import Headers, Message, Reader, Unreadable, answer
+from .http import Headers, Message, Reader, Unreadable, answer
 
 API, HEALTH = b"/api", b"/_health"
 BODY_LIMIT = 64 * 1024
--- a/lilacsill/__main__.py
+++ b/nickelmount/agent/lifecycle.py
@@ -1,4 +1,4 @@
-"""Starts the agent: ``python -m lilacsill``, configured by RELAY_CONFIG.
+"""Starts and stops the agent, configured by RELAY_CONFIG.
 
 SIGHUP reads the configuration again; SIGTERM stops in order.
 """
@@ -12,18 +12,18 @@
 from random import Random
 from typing import Any
 
-from brasshead.logic import Balancer
+from nickelmount.balancer.balancer import Balancer
 
 from .agent import Agent
-from .backends import Backends
-from .client import ClientTimes
+from .upstream import Backends
+from .downstream import ClientTimes
 from .clock import Clock
 from .config import Config, ConfigError, load, load_again
 from .discovery import HAND_WAIT_MS, WAIT_MS, Discovery
-from .pool import REST_US, Pool
-from .server import DrainTimes, Server
+from .connection_pool import REST_US, Pool
+from .listener import DrainTimes, Server
 
-log = logging.getLogger("lilacsill")
+log = logging.getLogger("nickelmount")
 
 # After SIGTERM new connections come for 0.2 to 0.4 s, and SIGKILL comes 0.7 s past the longest deadline.
 IDLE_S, SERVE_S, FINISH_S = 0.1, 0.5, 0.6
@@ -60,7 +60,7 @@
     try:
         port = await server.listen(config.listen)
     except OSError as e:
-        print(f"lilacsill: cannot listen: {e}", file=sys.stderr)
+        print(f"nickelmount: cannot listen: {e}", file=sys.stderr)
         return 1
     log.info("%s listens on %s:%d", config.name, config.listen.host, port)
     await stop.wait()
@@ -96,10 +96,6 @@
     try:
         config = load(os.environ, clock)
     except ConfigError as e:
-        print(f"lilacsill: {e}", file=sys.stderr)
+        print(f"nickelmount: {e}", file=sys.stderr)
         return 2
     return asyncio.run(serve(config, clock))
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/lilacsill/server.py
+++ b/nickelmount/agent/listener.py
@@ -6,10 +6,10 @@
 import socket
 from dataclasses import dataclass
 
-from brasshead.interface import Settings
+from nickelmount.balancer.interface import Settings
 
-from .checks import Checker
-from .client import Client, ClientTimes, Taker
+from .request_validation import Checker
+from .downstream import Client, ClientTimes, Taker
 from .discovery import Address
 
 BACKLOG = 512
--- a/lilacsill/checks.py
+++ b/nickelmount/agent/request_validation.py
@@ -7,9 +7,9 @@
 from urllib.parse import parse_qs
 from zlib import crc32
 
-from brasshead.interface import Effect, RequestClass, Tenant
+from nickelmount.balancer.interface import Effect, RequestClass, Tenant
 
-from .message import Headers, Message, Unreadable
+from .http import Headers, Message, Unreadable
 
 TIMEOUT_LIMIT_MS = 24 * 3600 * 1000
 # Those that go on to a backend.
--- a/lilacsill/backends.py
+++ b/nickelmount/agent/upstream.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from brasshead.interface import Backend, BackendId, Outcome, State
+from nickelmount.balancer.interface import Backend, BackendId, Outcome, State
 
 from .clock import Clock
 from .discovery import Listing, Member
-from .message import Message, request
-from .pool import Pool, Pooled
+from .http import Message, request
+from .connection_pool import Pool, Pooled
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/nickelmount/balancer/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions of a client-side load balancer, as a library without I/O."""
--- a/brasshead/logic.py
+++ b/nickelmount/balancer/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of brasshead. The types, events and actions used here are defined in brasshead/interface.py.
+"""Every decision of the balancer. The types, events and actions used here are defined in interface.py.
 
 A request meets the parts in this order: membership (who is there), admission (is it worth a try), health and
 cold-start budget (who may be sampled), load table and band choice (the Quantile process of Los and Sauerwald:
--- a/fleet/__main__.py
+++ b/nickelmount/fleet/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m fleet``: runs experiments on a small fleet on loopback."""
+"""``python -m nickelmount.fleet``: runs experiments on a small fleet on loopback."""
 from __future__ import annotations
 
 import asyncio
@@ -11,8 +11,8 @@
 import click
 
 from .experiment import Experiment, ExperimentError, read
-from .play import Play, PlayError
-from .process import Role, RoleError
+from .runner import Play, PlayError
+from .role_process import Role, RoleError
 from .results import by_size, gathered, results, table, write
 
 INTERRUPTED = 130  # as a shell has it after SIGINT
--- a/fleet/agents.py
+++ b/nickelmount/fleet/agent_processes.py
@@ -1,4 +1,4 @@
-"""Keeps the real agents: processes of ``python -m lilacsill``, started, restarted and looked at here.
+"""Keeps the real agents: processes of ``python -m nickelmount``, started, restarted and looked at here.
 
 They end with this process, which ends with its input.
 """
@@ -41,7 +41,7 @@
         began = time.monotonic()
         env = {**os.environ, "RELAY_CONFIG": str(self._path)}
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "lilacsill", env=env, stdin=asyncio.subprocess.DEVNULL,
+            sys.executable, "-m", "nickelmount", env=env, stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE)
         async with asyncio.timeout(READY_S):
             self.port = await self._listens()
--- a/fleet/standin.py
+++ b/nickelmount/fleet/emulated_discovery.py
@@ -15,9 +15,9 @@
 import msgspec
 from httptools import HttpRequestParser
 
-from lilacsill.connection import Connection
-from lilacsill.discovery import PATH
-from lilacsill.message import Message, Reader, Unreadable, answer
+from nickelmount.agent.connection import Connection
+from nickelmount.agent.discovery import PATH
+from nickelmount.agent.http import Message, Reader, Unreadable, answer
 
 from .catalog import Catalog, Phase, Where, generate, pick
 from .role import Command, run, serve, usage
--- a/fleet/mapserver.py
+++ b/nickelmount/fleet/emulated_endpoints.py
@@ -1,4 +1,4 @@
-"""Plain map servers on loopback, many listening sockets of one process: ``python -m fleet.mapserver``.
+"""Plain map servers on loopback, many listening sockets of one process.
 
 They lie on both paths that are measured, through an agent and directly, so each does as little as it can.
 """
--- a/fleet/hollow.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -15,13 +15,13 @@
 from random import Random
 from typing import Any
 
-from brasshead.logic import Balancer
-from lilacsill.agent import Agent
-from lilacsill.backends import Backends
-from lilacsill.clock import Clock
-from lilacsill.config import Config, from_doc
-from lilacsill.discovery import HAND_WAIT_MS, WAIT_MS, Discovery, Listing, ListingParser
-from lilacsill.pool import Pool
+from nickelmount.balancer.balancer import Balancer
+from nickelmount.agent.agent import Agent
+from nickelmount.agent.upstream import Backends
+from nickelmount.agent.clock import Clock
+from nickelmount.agent.config import Config, from_doc
+from nickelmount.agent.discovery import HAND_WAIT_MS, WAIT_MS, Discovery, Listing, ListingParser
+from nickelmount.agent.connection_pool import Pool
 
 from .role import run, serve, usage
 
--- a/fleet/caller.py
+++ b/nickelmount/fleet/load_generator.py
@@ -1,4 +1,4 @@
-"""The calls that are measured, through agents and directly: ``python -m fleet.caller``.
+"""The calls that are measured, through agents and directly: ``python -m nickelmount.fleet.load_generator``.
 
 Arrivals are open loop: a call is due at its time whatever became of the ones before it, and its wait counts
 from then. Both paths take the same code, interleaved, on connections opened ahead, so that they differ by the
@@ -23,7 +23,7 @@
 from hdrh.histogram import HdrHistogram
 from httptools import HttpParserError, HttpParserUpgrade, HttpResponseParser
 
-from lilacsill.message import request
+from nickelmount.agent.http import request
 
 from . import role
 
--- a/fleet/process.py
+++ b/nickelmount/fleet/role_process.py
@@ -28,7 +28,7 @@
     @classmethod
     async def begin(cls, module: str) -> Role:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", f"fleet.{module}", stdin=asyncio.subprocess.PIPE,
+            sys.executable, "-m", f"nickelmount.fleet.{module}", stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE, limit=LINE_BYTES, start_new_session=True)
         return cls(module, process)
 
--- a/fleet/play.py
+++ b/nickelmount/fleet/runner.py
@@ -14,8 +14,8 @@
 
 from .catalog import generate
 from .experiment import Change, Drip, Event, Experiment, Outage, Restart
-from .process import Role
-from .settings import METHOD, REQUEST_CLASS, config
+from .role_process import Role
+from .agent_config import METHOD, REQUEST_CLASS, config
 
 MEMORY_SHARE = 0.5  # of the machine's, at most
 START_S = 120.0  # the most that all roles may take to start and to end, besides the time of the file
@@ -91,7 +91,8 @@
 
     async def _whole(self) -> None:
         e = self._e
-        servers, self._standin = await self._role("mapserver"), await self._role("standin")
+        servers = await self._role("emulated_endpoints")
+        self._standin = await self._role("emulated_discovery")
         begun = await servers.call("start", ports=e.servers.sockets, work_ms=e.servers.work_ms)
         ports = begun["ports"]
         s = e.servers
@@ -117,7 +118,7 @@
         self._say(f"starting {e.agents.hollow} hollow agents in {count} processes")
         for i in range(count):
             numbers = list(range(i, e.agents.hollow, count))
-            self._workers.append((await self._role("hollow"), numbers))
+            self._workers.append((await self._role("hollow_agents"), numbers))
         begun = time.monotonic()
         answers = await asyncio.gather(*(
             role.call("start", config=config(e, 0, port, known), numbers=numbers, shared=e.agents.shared)
@@ -131,7 +132,7 @@
         if not e.agents.real:
             return
         self._say(f"starting {e.agents.real} real agents")
-        self._keeper, self._caller = await self._role("agents"), await self._role("caller")
+        self._keeper, self._caller = await self._role("agent_processes"), await self._role("load_generator")
         configs = [config(e, e.agents.hollow + i, port, known) for i in range(e.agents.real)]
         begun = await self._keeper.call("start", configs=configs)
         self._figures["real.ready.s"] = max(begun["ready_s"])
--- a/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -14,19 +14,19 @@
 from random import Random
 from typing import Any
 
-from brasshead.interface import (
+from nickelmount.balancer.interface import (
     Action, AttemptEnded, BackendsChanged, Event, ListKind, Outcome, RequestArrived, Send,
 )
-from brasshead.logic import Balancer
-from lilacsill.backends import Backends
-from lilacsill.clock import Clock
-from lilacsill.config import from_doc
-from lilacsill.pool import Pool
+from nickelmount.balancer.balancer import Balancer
+from nickelmount.agent.upstream import Backends
+from nickelmount.agent.clock import Clock
+from nickelmount.agent.config import from_doc
+from nickelmount.agent.connection_pool import Pool
 
 from .catalog import Catalog, generate
 from .experiment import Experiment
 from .role import run, serve, usage
-from .settings import config
+from .agent_config import config
 
 CHANGES = 200  # single ones, each timed
 SECONDS = 20  # of requests, on the module's clock
--- a/brasshead/settings.py
+++ b/nickelmount/protocol/settings.py
@@ -3,7 +3,7 @@
 
 from typing import Any
 
-from . import interface as q
+from ..balancer import interface as q
 
 EFFECTS = {"retryable": q.Effect.SAFE, "dedup": q.Effect.KEYED, "fragile": q.Effect.UNSAFE}
 
--- a/brasshead/drill.py
+++ b/nickelmount/simulator/__main__.py
@@ -1,6 +1,6 @@
 """The wire: frames on standard input and output, many instances in one process, no decision.
 
-Run as ``python -m brasshead.drill``. Bad input gives one plain line on standard error and exit status 2.
+Run as ``python -m nickelmount.simulator``. Bad input gives one line on standard error and exit status 2.
 """
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from . import interface as q
-from .logic import Balancer
-from .settings import SettingsError, settings_from
+from ..balancer import interface as q
+from ..balancer.balancer import Balancer
+from ..protocol.settings import SettingsError, settings_from
 
 HEADER = struct.Struct(">QII")  # clock, frame length, records
 REPLY_HEADER = struct.Struct(">II")
@@ -235,7 +235,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as e:
-        print(f"brasshead: {e}", file=sys.stderr)
+        print(f"nickelmount: {e}", file=sys.stderr)
         return 2
     return 0
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,8 +3,8 @@
 
 from typing import Any, TypeVar
 
-from brasshead.logic import Balancer
-from brasshead.interface import (
+from nickelmount.balancer.balancer import Balancer
+from nickelmount.balancer.interface import (
     Action,
     AttemptEnded,
     Backend,
@@ -47,7 +47,7 @@
         self.event(BackendsChanged(ListKind.CACHED, list(self.backends)))
 
     def event(self, event: Event) -> list[Action]:
-        from brasshead.interface import SetTimer
+        from nickelmount.balancer.interface import SetTimer
 
         actions = self.balancer.handle(self.now, event)
         for a in actions:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 from typing import Any
 
-from lilacsill.__main__ import assemble
-from lilacsill.agent import Agent
-from lilacsill.client import ClientTimes
-from lilacsill.clock import Clock
-from lilacsill.config import Config, load
-from lilacsill.discovery import Address
-from lilacsill.server import Server
+from nickelmount.agent.lifecycle import assemble
+from nickelmount.agent.agent import Agent
+from nickelmount.agent.downstream import ClientTimes
+from nickelmount.agent.clock import Clock
+from nickelmount.agent.config import Config, load
+from nickelmount.agent.discovery import Address
+from nickelmount.agent.listener import Server
 
 KEYED, UNSAFE = "registro-servicio", "vale-almacen"
 LOAD = b"inflight=0,queue=0,util=0.1"
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -57,7 +57,8 @@
 
 def run(data: bytes, seed: str = "0") -> subprocess.CompletedProcess[bytes]:
     env = {**os.environ, "PYTHONHASHSEED": seed, "PYTHONPATH": str(ROOT)}
-    return subprocess.run([sys.executable, "-m", "brasshead.drill"], input=data, capture_output=True, env=env)
+    return subprocess.run(
+        [sys.executable, "-m", "nickelmount.simulator"], input=data, capture_output=True, env=env)
 
 
 def replies(data: bytes) -> list[bytes]:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -8,10 +8,10 @@
 import pytest
 from tests.loopback import KEYED, UNSAFE, World, post, world
 
-from brasshead.interface import Event, RequestArrived
-from brasshead.logic import Balancer
-from lilacsill.discovery import Member
-from lilacsill.pool import Pool, Pooled
+from nickelmount.balancer.interface import Event, RequestArrived
+from nickelmount.balancer.balancer import Balancer
+from nickelmount.agent.discovery import Member
+from nickelmount.agent.connection_pool import Pool, Pooled
 
 
 def test_a_request_goes_on_unchanged_and_connections_are_kept(tmp_path: Path) -> None:
@@ -174,7 +174,7 @@
         deepest[0] = max(deepest[0], depth[0])
         return actions
 
-    from lilacsill.agent import Agent
+    from nickelmount.agent.agent import Agent
     handled = Agent._handle
 
     def agent_handle(self: Agent, event: Event) -> None:
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -10,12 +10,12 @@
 import pytest
 from tests.loopback import Message, Peer, member
 
-from brasshead.interface import Outcome
-from lilacsill.backends import Ask, Backends, Result, parse_report
-from lilacsill.clock import Clock
-from lilacsill.connection import Connection
-from lilacsill.discovery import Listing, ListingParser
-from lilacsill.pool import Pool
+from nickelmount.balancer.interface import Outcome
+from nickelmount.agent.upstream import Ask, Backends, Result, parse_report
+from nickelmount.agent.clock import Clock
+from nickelmount.agent.connection import Connection
+from nickelmount.agent.discovery import Listing, ListingParser
+from nickelmount.agent.connection_pool import Pool
 
 FIELDS = ("inflight", "queue", "util")
 ASK = Ask(b"POST", b"/api", [(b"Request-Id", b"1")], b"job")
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -14,9 +14,9 @@
 import pytest
 from hdrh.histogram import HdrHistogram
 
-from fleet import caller
-from fleet.caller import Caller, Calls, Pool, Stream, due_times
-from fleet.mapserver import MapServers
+from nickelmount.fleet import load_generator as caller
+from nickelmount.fleet.load_generator import Caller, Calls, Pool, Stream, due_times
+from nickelmount.fleet.emulated_endpoints import MapServers
 
 from .loopback import Conversation, Message, Peer
 
@@ -231,7 +231,8 @@
 
 def test_both_roles_as_processes_agree_on_what_was_called() -> None:
     async def body() -> None:
-        servers, client = await Role().start("fleet.mapserver"), await Role().start("fleet.caller")
+        servers = await Role().start("nickelmount.fleet.emulated_endpoints")
+        client = await Role().start("nickelmount.fleet.load_generator")
         ports = (await servers.do("start", ports=3, work_ms=0))["ports"]
         await client.do("start", agents=[{"name": "n1", "port": ports[0]}], rate=200, direct_rate=200,
                         direct=[{"port": p} for p in ports[1:]], arrivals="poisson", seed=3,
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fleet.catalog import Catalog, Entry, Where, generate, pick
+from nickelmount.fleet.catalog import Catalog, Entry, Where, generate, pick
 
 NOW = 1_700_000_000_000
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from brasshead.interface import (
+from nickelmount.balancer.interface import (
     AttemptEnded,
     Backend,
     BackendsChanged,
@@ -24,7 +24,7 @@
     SetTimer,
     TimerFired,
 )
-from brasshead.logic import Balancer
+from nickelmount.balancer.balancer import Balancer
 
 from .helpers import MS, SECOND
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,10 +10,10 @@
 import pytest
 from tests.loopback import LOAD, UNSAFE, Message, Peer, World, member, post, world
 
-from lilacsill.clock import Clock
-from lilacsill.connection import Connection
-from lilacsill.discovery import Listing, ListingParser
-from lilacsill.pool import Pooled
+from nickelmount.agent.clock import Clock
+from nickelmount.agent.connection import Connection
+from nickelmount.agent.discovery import Listing, ListingParser
+from nickelmount.agent.connection_pool import Pooled
 
 DONE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,12 +11,12 @@
 import pytest
 from tests.loopback import Peer, config_doc, load_config, member, post, world
 
-from brasshead.interface import State
+from nickelmount.balancer.interface import State
 
-from lilacsill import discovery as discovery_module
-from lilacsill.__main__ import assemble
-from lilacsill.clock import Clock
-from lilacsill.discovery import ANSWER_BYTES, Address, Discovery, Listing, ListingParser
+from nickelmount.agent import discovery as discovery_module
+from nickelmount.agent.lifecycle import assemble
+from nickelmount.agent.clock import Clock
+from nickelmount.agent.discovery import ANSWER_BYTES, Address, Discovery, Listing, ListingParser
 
 
 def body(revision: int, members: list[dict[str, Any]], complete: bool = False) -> bytes:
--- a/tests/test_standin.py
+++ b/tests/test_emulated_discovery.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-from brasshead.interface import State
+from nickelmount.balancer.interface import State
 
-from fleet import standin as standin_module
-from fleet.standin import SEND_BUFFER, Standin
-from lilacsill import discovery as discovery_module
-from lilacsill.clock import Clock
-from lilacsill.discovery import Address, Discovery, Listing, ListingParser, Member
+from nickelmount.fleet import emulated_discovery as standin_module
+from nickelmount.fleet.emulated_discovery import SEND_BUFFER, Standin
+from nickelmount.agent import discovery as discovery_module
+from nickelmount.agent.clock import Clock
+from nickelmount.agent.discovery import Address, Discovery, Listing, ListingParser, Member
 
 LOCALITIES = ("r0-z0", "r0-z1", "r1-z0", "r1-z1")
 CLOCK = Clock()  # one, so that the same start is the same time to all
@@ -278,7 +278,7 @@
 def test_its_process_ends_with_its_input() -> None:
     async def run() -> None:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "fleet.standin", cwd=Path(__file__).parent.parent,
+            sys.executable, "-m", "nickelmount.fleet.emulated_discovery", cwd=Path(__file__).parent.parent,
             stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE)
         commands = [{"do": "begin_outage", "kind": "silent"},
                     {"do": "start", "servers": 6, "seed": 1, "regions": 1, "zones_per_region": 1,
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -5,8 +5,8 @@
 
 from tests.helpers import MS, SECOND, Drive, only
 
-from brasshead.logic import NOTE, RETRY_BURST, RETRY_SHARE, Request, Server
-from brasshead.interface import (
+from nickelmount.balancer.balancer import NOTE, RETRY_BURST, RETRY_SHARE, Request, Server
+from nickelmount.balancer.interface import (
     Backend, ClientGone, Log, Outcome, PeerMessage, Prices, Probe, ProbeEnded, Refuse, RequestArrived,
     RequestClass, Send, State, Tell,
 )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from brasshead.interface import (
+from nickelmount.balancer.interface import (
     Backend,
     Discovery,
     Effect,
@@ -22,9 +22,9 @@
     Watch,
 )
 
-from lilacsill.__main__ import assemble
-from lilacsill.clock import Clock
-from lilacsill.discovery import ANSWER_S, LATE_S
+from nickelmount.agent.lifecycle import assemble
+from nickelmount.agent.clock import Clock
+from nickelmount.agent.discovery import ANSWER_S, LATE_S
 
 from .helpers import MS, SECOND, UNSAFE, Drive, only
 from .loopback import Peer, config_doc, load_config, member
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -12,11 +12,11 @@
 import pytest
 from tests.loopback import KEYED, LOAD, UNSAFE, Conversation, Message, Peer, World, member, post, world
 
-from brasshead.interface import TimerFired
+from nickelmount.balancer.interface import TimerFired
 
-from lilacsill.client import Client
-from lilacsill.clock import Clock
-from lilacsill.discovery import Listing, ListingParser
+from nickelmount.agent.downstream import Client
+from nickelmount.agent.clock import Clock
+from nickelmount.agent.discovery import Listing, ListingParser
 
 
 def by_fin(s: socket.socket) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,17 +10,17 @@
 
 import pytest
 
-from brasshead.interface import Backend, BackendsChanged, ListKind, RequestArrived, State
-from brasshead.logic import Balancer, ColdBudget
-from fleet.experiment import Agents, Experiment
-from fleet.hollow import Hollow
-from fleet.settings import config
-from fleet.standin import Standin
-from lilacsill.backends import Backends
-from lilacsill.clock import Clock
-from lilacsill.config import from_doc
-from lilacsill.discovery import Address, Discovery, Listing, ListingParser
-from lilacsill.pool import Pool
+from nickelmount.balancer.interface import Backend, BackendsChanged, ListKind, RequestArrived, State
+from nickelmount.balancer.balancer import Balancer, ColdBudget
+from nickelmount.fleet.experiment import Agents, Experiment
+from nickelmount.fleet.hollow_agents import Hollow
+from nickelmount.fleet.agent_config import config
+from nickelmount.fleet.emulated_discovery import Standin
+from nickelmount.agent.upstream import Backends
+from nickelmount.agent.clock import Clock
+from nickelmount.agent.config import from_doc
+from nickelmount.agent.discovery import Address, Discovery, Listing, ListingParser
+from nickelmount.agent.connection_pool import Pool
 from tests.helpers import SAFE, SECOND, Drive
 from tests.loopback import Peer, member
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -15,8 +15,8 @@
     RuleBasedStateMachine, initialize, precondition, rule, run_state_machine_as_test,
 )
 
-from brasshead.logic import Balancer
-from brasshead.interface import (
+from nickelmount.balancer.balancer import Balancer
+from nickelmount.balancer.interface import (
     Action, AttemptEnded, Backend, BackendsChanged, Cancel, ClientGone, Discovery, Effect, Event, Fail, Fetch,
     Group, ListKind, Log, Outcome, Probe, ProbeEnded, Refuse, RequestArrived, RequestClass, Send, Settings,
     SetTimer, State, StreamStarted, TimerFired, Watch,
--- a/tests/test_quantile.py
+++ b/tests/test_quantile.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brasshead.logic import cutoff_ranks, cutoffs, lower_band
+from nickelmount.balancer.balancer import cutoff_ranks, cutoffs, lower_band
 
 
 def choose(rng: Random, loads: list[float], cuts: list[float]) -> int:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -17,7 +17,7 @@
 
 
 def test_module_stays_within_its_limits() -> None:
-    text = (ROOT / "brasshead" / "logic.py").read_text().splitlines()
+    text = (ROOT / "nickelmount" / "balancer" / "balancer.py").read_text().splitlines()
     assert sum(1 for line in text if line.strip()) <= 1200
-    for path in [*ROOT.glob("brasshead/*.py"), *ROOT.glob("tests/*.py")]:
+    for path in [*ROOT.glob("nickelmount/balancer/*.py"), *ROOT.glob("tests/*.py")]:
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from brasshead.interface import (
+from nickelmount.balancer.interface import (
     Backend,
     Cancel,
     ClientGone,
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from lilacsill.client import Client, ClientTimes
+from nickelmount.agent.downstream import Client, ClientTimes
 from tests.loopback import (
     KEYED, UNSAFE, Conversation, Message, Peer, World, config_doc, member, post, world,
 )
@@ -231,7 +231,7 @@
     path = folder / "config.json"
     path.write_text(json.dumps(doc))
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "lilacsill", env={**os.environ, "RELAY_CONFIG": str(path)},
+        sys.executable, "-m", "nickelmount", env={**os.environ, "RELAY_CONFIG": str(path)},
         stderr=asyncio.subprocess.PIPE)
     assert process.stderr is not None
     while b"listens on" not in (line := await process.stderr.readline()):
@@ -306,11 +306,11 @@
 
     async def run() -> None:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "lilacsill", env={**os.environ, "RELAY_CONFIG": str(path)},
+            sys.executable, "-m", "nickelmount", env={**os.environ, "RELAY_CONFIG": str(path)},
             stderr=asyncio.subprocess.PIPE)
         _, err = await process.communicate()
         assert process.returncode == 2
-        assert err.startswith(b"lilacsill: ") and err.count(b"\n") == 1, err
+        assert err.startswith(b"nickelmount: ") and err.count(b"\n") == 1, err
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,16 +5,16 @@
 from typing import Any
 
 import pytest
-from lilacsill.clock import Clock
-from lilacsill.discovery import ANSWER_S
+from nickelmount.agent.clock import Clock
+from nickelmount.agent.discovery import ANSWER_S
 from tests.helpers import MS, SAFE, SECOND, UNSAFE, Drive, only
 from tests.loopback import config_doc, load_config, settings as wire_settings
 
-from brasshead.interface import (
+from nickelmount.balancer.interface import (
     Backend, BackendsChanged, ClientGone, Discovery, Fail, Group, ListKind, Outcome, Prices, Refuse,
     RequestArrived, Send, Settings, TimerFired, Watch,
 )
-from brasshead.settings import settings_from
+from nickelmount.protocol.settings import settings_from
 
 
 @pytest.mark.parametrize("name, value", [
--- a/tests/test_small_fleet.py
+++ b/tests/test_small_fleet.py
@@ -12,16 +12,16 @@
 import psutil
 import pytest
 
-from fleet import play
-from fleet.experiment import read
+from nickelmount.fleet import runner as play
+from nickelmount.fleet.experiment import read
 
 ROOT = Path(__file__).parent.parent
 SMALL = ROOT / "experiments" / "small.toml"
 
 
 def fleet(*arguments: str | Path) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "fleet", *map(str, arguments)], cwd=ROOT, timeout=120,
-                          capture_output=True, text=True)
+    return subprocess.run([sys.executable, "-m", "nickelmount.fleet", *map(str, arguments)], cwd=ROOT,
+                          timeout=120, capture_output=True, text=True)
 
 
 def figures(folder: Path) -> dict[str, Any]:
@@ -71,7 +71,7 @@
 
 def running_fleet(out: Path) -> subprocess.Popen[str]:
     """One whose first event has come."""
-    command = [sys.executable, "-m", "fleet", "run", str(SMALL), "--out", str(out)]
+    command = [sys.executable, "-m", "nickelmount.fleet", "run", str(SMALL), "--out", str(out)]
     running = subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True)
     assert running.stderr is not None
     while "change@0.5" not in (line := running.stderr.readline()):
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -15,8 +15,8 @@
 from tests.test_leaving import Caller, listing, taken
 from tests.test_reload import Running, whole
 
-from lilacsill import server as server_module
-from lilacsill.server import DrainTimes
+from nickelmount.agent import listener as server_module
+from nickelmount.agent.listener import DrainTimes
 
 NOW = DrainTimes(idle_s=0.0, serve_s=0.0, end_s=30.0)
 
