--- a/nickelmount/__main__.py
+++ b/nickelmount/__main__.py
@@ -1,4 +1,5 @@
 """Starts the agent: ``python -m nickelmount``."""
+
 import sys
 
 from .agent.lifecycle import main
--- a/nickelmount/agent/agent.py
+++ b/nickelmount/agent/agent.py
@@ -1,4 +1,5 @@
 """The agent: the only caller of the decision module, which carries out what it decides."""
+
 from __future__ import annotations
 
 import asyncio
@@ -46,8 +47,14 @@
         self._handling = False
         self._taken = 0
         self._carriers: dict[type, Callable[[Any], None]] = {
-            q.Send: self._send, q.Refuse: self._refuse, q.Fail: self._fail, q.Cancel: self._cancel,
-            q.SetTimer: self._set_timer, q.Probe: self._probe, q.Watch: self._watch, q.Fetch: self._fetch,
+            q.Send: self._send,
+            q.Refuse: self._refuse,
+            q.Fail: self._fail,
+            q.Cancel: self._cancel,
+            q.SetTimer: self._set_timer,
+            q.Probe: self._probe,
+            q.Watch: self._watch,
+            q.Fetch: self._fetch,
             q.Log: self._log,
         }
 
@@ -65,9 +72,17 @@
         call.number = self._taken
         overdue = self._loop.call_later(call.patience_us / 1e6 + OVERDUE_S, self._overdue, call.number)
         self._held[call.number] = Held(call, overdue)
-        self._post(q.RequestArrived(
-            call.number, call.request_class, call.patience_us, call.tenant, call.key, call.cost_us,
-            call.is_retry))
+        self._post(
+            q.RequestArrived(
+                call.number,
+                call.request_class,
+                call.patience_us,
+                call.tenant,
+                call.key,
+                call.cost_us,
+                call.is_retry,
+            )
+        )
 
     def leave(self, call: Call) -> None:
         if self._over(call.number) is not None:
@@ -176,9 +191,17 @@
         if result.outcome is q.Outcome.OK:
             kind = [("Content-Type", result.content_type)] if result.content_type else []
             self._answer(number, 200, kind, result.body)
-        self._post(q.AttemptEnded(
-            number, attempt, backend, result.outcome, result.latency_us, number not in self._held,
-            result.report))
+        self._post(
+            q.AttemptEnded(
+                number,
+                attempt,
+                backend,
+                result.outcome,
+                result.latency_us,
+                number not in self._held,
+                result.report,
+            )
+        )
 
     def _refuse(self, a: q.Refuse) -> None:
         advice = [("Retry-After", f"{a.retry_after_us / 1e6:.6f}")] if a.retry_after_us else []
--- a/nickelmount/agent/clock.py
+++ b/nickelmount/agent/clock.py
@@ -1,4 +1,5 @@
 """The one clock: monotonic, in integer microseconds."""
+
 from __future__ import annotations
 
 import time
--- a/nickelmount/agent/config.py
+++ b/nickelmount/agent/config.py
@@ -1,4 +1,5 @@
 """RELAY_CONFIG as typed values."""
+
 from __future__ import annotations
 
 import json
@@ -75,9 +76,14 @@
         # The agent has no channel to its peers, so the module must not count on one. Nor does a list come by
         # itself on sockets: where the simulator pushes it, here it is to be watched all the same, but from an
         # agent on this machine, which answers at once and at no cost.
-        settings=replace(settings, can_tell=False, discovery=Discovery.ASK,
-                         lists_at_hand=settings.discovery is Discovery.PUSH,
-                         ask_within_us=told_us, list_call_us=min(int(ANSWER_S * 1e6), told_us // 3)),
+        settings=replace(
+            settings,
+            can_tell=False,
+            discovery=Discovery.ASK,
+            lists_at_hand=settings.discovery is Discovery.PUSH,
+            ask_within_us=told_us,
+            list_call_us=min(int(ANSWER_S * 1e6), told_us // 3),
+        ),
         connect_timeout_us=int(allowed["connectTimeoutUs"]),
         conn_idle_us=int(allowed["connIdleUs"]),
     )
--- a/nickelmount/agent/connection.py
+++ b/nickelmount/agent/connection.py
@@ -1,4 +1,5 @@
 """One TCP connection; what is common to all three roles of the agent."""
+
 from __future__ import annotations
 
 import asyncio
--- a/nickelmount/agent/connection_pool.py
+++ b/nickelmount/agent/connection_pool.py
@@ -1,4 +1,5 @@
 """Connections to backends: opened within a limit, kept for reuse while they can be trusted."""
+
 from __future__ import annotations
 
 import asyncio
@@ -79,8 +80,9 @@
 class Pool:
     """The connections to all backends."""
 
-    def __init__(self, clock: Clock, connect_timeout_us: int, conn_idle_us: int, most: int,
-                 rest_us: int = REST_US) -> None:
+    def __init__(
+        self, clock: Clock, connect_timeout_us: int, conn_idle_us: int, most: int, rest_us: int = REST_US
+    ) -> None:
         self._clock = clock
         self._connect_s = connect_timeout_us / 1e6
         self._idle_us = int(conn_idle_us * IDLE_SHARE)
@@ -94,8 +96,9 @@
         """Whether one more connection may be opened; the longest idle one makes way."""
         if len(self._open) + len(self.opening) < self._most:
             return True
-        longest = min((kept[0] for kept in self._idle.values() if kept), key=lambda c: c.idle_since,
-                      default=None)
+        longest = min(
+            (kept[0] for kept in self._idle.values() if kept), key=lambda c: c.idle_since, default=None
+        )
         if longest is None:
             return False
         self.discard(longest)
@@ -105,7 +108,8 @@
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(self._connect_s):
             _, connection = await loop.create_connection(
-                lambda: Pooled(self, member), member.address.host, member.address.port)
+                lambda: Pooled(self, member), member.address.host, member.address.port
+            )
         self._open.add(connection)
         return connection
 
@@ -132,12 +136,18 @@
     def give_back(self, connection: Pooled, answered: bool, ready: Member | None) -> None:
         """Keep a connection whose exchange is over in good order; close any other."""
         connection.user = None
-        if (not answered or not connection.clean or connection.closed or not connection.written
-                or not connection.member.same_process(ready)):
+        if (
+            not answered
+            or not connection.clean
+            or connection.closed
+            or not connection.written
+            or not connection.member.same_process(ready)
+        ):
             return self.discard(connection)
         connection.idle_since = self._clock.now()
         connection.retire = asyncio.get_running_loop().call_later(
-            self._idle_us / 1e6, self.discard, connection)
+            self._idle_us / 1e6, self.discard, connection
+        )
         self._idle.setdefault(connection.member.backend.id, []).append(connection)
 
     def forget(self, backend: BackendId) -> None:
--- a/nickelmount/agent/discovery.py
+++ b/nickelmount/agent/discovery.py
@@ -1,4 +1,5 @@
 """The list of backends: its form, and the watch that keeps it up to date."""
+
 from __future__ import annotations
 
 import asyncio
@@ -45,8 +46,11 @@
 
     def same_process(self, other: Member | None) -> bool:
         """Whether a connection to the one leads to the other."""
-        return (other is not None and self.address == other.address
-                and self.backend.started_at == other.backend.started_at)
+        return (
+            other is not None
+            and self.address == other.address
+            and self.backend.started_at == other.backend.started_at
+        )
 
 
 @dataclass(slots=True, frozen=True)
@@ -95,7 +99,7 @@
             for i in range(0, len(entries), SLICE):
                 if i:
                     await asyncio.sleep(0)
-                members += [self._entry(m) for m in entries[i:i + SLICE]]
+                members += [self._entry(m) for m in entries[i : i + SLICE]]
             return self._listing(doc, members)
 
     def _listing(self, doc: Any, members: list[Member | None]) -> Listing:
@@ -136,8 +140,12 @@
         if not 0.0 < size < 1e9:  # not finite or below 0 would poison every mean it enters
             raise ValueError(f"size {size}")
         backend = Backend(
-            str(m["id"]), STATES[m["phase"]], self._zones.get(m.get("locality"), 0), int(m.get("cell") or 0),
-            self._kinds.get(m.get("flavor"), 0), size,
+            str(m["id"]),
+            STATES[m["phase"]],
+            self._zones.get(m.get("locality"), 0),
+            int(m.get("cell") or 0),
+            self._kinds.get(m.get("flavor"), 0),
+            size,
             self._clock.from_unix_ms(int(m.get("up_since_ms") or 0)),
         )
         return Member(backend, parse_address(m["host_port"]))
@@ -208,8 +216,15 @@
 class Discovery:
     """Asks discovery. A watch goes on by itself from call to call until a call fails."""
 
-    def __init__(self, address: Address, parser: ListingParser, revision: int, connect_s: float,
-                 wait_ms: int = WAIT_MS, spread: Random | None = None) -> None:
+    def __init__(
+        self,
+        address: Address,
+        parser: ListingParser,
+        revision: int,
+        connect_s: float,
+        wait_ms: int = WAIT_MS,
+        spread: Random | None = None,
+    ) -> None:
         self._address, self._parser, self._connect_s = address, parser, connect_s
         self._wait_ms = wait_ms
         # Where all agents share discovery: a change ends all their calls at once, and did their waits end
--- a/nickelmount/agent/downstream.py
+++ b/nickelmount/agent/downstream.py
@@ -1,4 +1,5 @@
 """One connection of the application: requests read from it one at a time, answers written to it."""
+
 from __future__ import annotations
 
 import asyncio
@@ -74,7 +75,7 @@
     @property
     def spare(self) -> bool:
         """Nothing of a request has come, as far as the kernel knows."""
-        return (self._call is None and self._reader.current is None and not self.deaf and self.quiet())
+        return self._call is None and self._reader.current is None and not self.deaf and self.quiet()
 
     def parted(self, after_s: float) -> bool:
         """The last answer was given so long ago, and closing now resets nothing of it."""
--- a/nickelmount/agent/http.py
+++ b/nickelmount/agent/http.py
@@ -1,4 +1,5 @@
 """HTTP/1.1 messages as they come in, read by llhttp within limits of size, and as they go out."""
+
 from __future__ import annotations
 
 from collections.abc import Iterable
@@ -9,9 +10,18 @@
 INTERIM_LIMIT = 16  # answers 1xx ahead of the one that counts
 
 Headers = list[tuple[str, str]]
-REASONS = {100: "Continue", 200: "OK", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout",
-           409: "Conflict", 413: "Content Too Large", 500: "Internal Server Error", 502: "Bad Gateway",
-           503: "Service Unavailable"}
+REASONS = {
+    100: "Continue",
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    500: "Internal Server Error",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+}
 
 
 class Unreadable(Exception):
--- a/nickelmount/agent/lifecycle.py
+++ b/nickelmount/agent/lifecycle.py
@@ -2,6 +2,7 @@
 
 SIGHUP reads the configuration again; SIGTERM stops in order.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -32,17 +33,22 @@
 CLIENT_SHARE = 0.55  # of the rest: a third of all is for their requests, and some stay with nothing open
 
 
-def assemble(config: Config, clock: Clock, times: ClientTimes | None = None,
-             rest_us: int = REST_US) -> tuple[Agent, Server]:
+def assemble(
+    config: Config, clock: Clock, times: ClientTimes | None = None, rest_us: int = REST_US
+) -> tuple[Agent, Server]:
     """The parts, wired; nothing has started yet."""
     settings, both = config.settings, max(2, config.sockets - DESCRIPTORS_APART)
     clients = max(1, int(CLIENT_SHARE * both))
     pool = Pool(clock, config.connect_timeout_us, config.conn_idle_us, both - clients, rest_us)
     backends = Backends(clock, settings.report_fields, pool)
-    discovery = Discovery(config.discovery, config.parser, config.known.revision,
-                          config.connect_timeout_us / 1e6,
-                          HAND_WAIT_MS if settings.lists_at_hand else WAIT_MS,
-                          None if settings.lists_at_hand else Random(config.seed))
+    discovery = Discovery(
+        config.discovery,
+        config.parser,
+        config.known.revision,
+        config.connect_timeout_us / 1e6,
+        HAND_WAIT_MS if settings.lists_at_hand else WAIT_MS,
+        None if settings.lists_at_hand else Random(config.seed),
+    )
     agent = Agent(Balancer(settings, config.seed), clock, backends, discovery)
     return agent, Server(settings, agent, clients, times or ClientTimes())
 
--- a/nickelmount/agent/listener.py
+++ b/nickelmount/agent/listener.py
@@ -1,4 +1,5 @@
 """Listens for the application: which connections may stay, and how the agent takes its leave of them."""
+
 from __future__ import annotations
 
 import asyncio
@@ -50,7 +51,8 @@
         """Returns the port, for an address whose port is 0."""
         self._socket = sock = socket.create_server((address.host, address.port), backlog=BACKLOG)
         self._listener = await self._loop.create_server(
-            lambda: Client(self, self._loop.time), sock=sock, backlog=ACCEPTS)
+            lambda: Client(self, self._loop.time), sock=sock, backlog=ACCEPTS
+        )
         sock.listen(BACKLOG)  # asyncio's backlog is both: what waits in the kernel, and accepts in one turn
         self._sweep()
         return int(sock.getsockname()[1])
@@ -72,9 +74,10 @@
     def _longest_spare(self) -> Client | None:
         """The one that has had nothing open for longest, has never said anything, or has its last answer."""
         now = self._loop.time()
-        spare = sorted((c for c in self.connections
-                        if not c.asked or c.lingers or now - c.since > self._times.spare_s),
-                       key=lambda c: c.since)
+        spare = sorted(
+            (c for c in self.connections if not c.asked or c.lingers or now - c.since > self._times.spare_s),
+            key=lambda c: c.since,
+        )
         return next((c for c in spare if c.spare or c.parted(PARTED_S)), None)
 
     def _sweep(self) -> None:
--- a/nickelmount/agent/request_validation.py
+++ b/nickelmount/agent/request_validation.py
@@ -1,4 +1,5 @@
 """What a request must be to be taken; anything else reaches neither the module nor a backend."""
+
 from __future__ import annotations
 
 import re
@@ -15,8 +16,18 @@
 # Those that go on to a backend.
 FORWARDED = (b"request-id", b"idempotency-key", b"request-class", b"tenant", b"content-type")
 # Were one of these there twice, agent and backend could each go by another.
-DECISIVE = frozenset((b"host", b"request-id", b"idempotency-key", b"request-class", b"tenant",
-                      b"request-timeout-ms", b"client-retry", b"content-type"))
+DECISIVE = frozenset(
+    (
+        b"host",
+        b"request-id",
+        b"idempotency-key",
+        b"request-class",
+        b"tenant",
+        b"request-timeout-ms",
+        b"client-retry",
+        b"content-type",
+    )
+)
 _NAME = re.compile(rb"[A-Za-z0-9._:~+/=-]{1,128}")
 
 
@@ -64,9 +75,18 @@
         if not _NAME.fullmatch(key or b"") if effect is Effect.KEYED else key is not None:
             raise Unreadable(400, "Idempotency-Key does not fit the class")
         return Call(
-            number, request.method, request.target, [(k, fields[k]) for k in FORWARDED if k in fields],
-            bytes(request.body), index, self._tenant(fields), _patience_us(fields), _key(request.target),
-            _number(fields.get(b"work-hint", b"")) or 0, fields.get(b"client-retry") == b"1", respond,
+            number,
+            request.method,
+            request.target,
+            [(k, fields[k]) for k in FORWARDED if k in fields],
+            bytes(request.body),
+            index,
+            self._tenant(fields),
+            _patience_us(fields),
+            _key(request.target),
+            _number(fields.get(b"work-hint", b"")) or 0,
+            fields.get(b"client-retry") == b"1",
+            respond,
         )
 
     def _class(self, fields: dict[bytes, bytes]) -> tuple[int, Effect]:
--- a/nickelmount/agent/upstream.py
+++ b/nickelmount/agent/upstream.py
@@ -1,4 +1,5 @@
 """The backends' side: attempts and probes, and how each of them ended."""
+
 from __future__ import annotations
 
 import asyncio
@@ -60,15 +61,25 @@
 
 def _same_group(one: Member | None, other: Member | None) -> bool:
     """Whether a repeat that the one may get may go to the other as well."""
-    return (one is not None and other is not None and one.backend.zone == other.backend.zone
-            and one.backend.cell == other.backend.cell)
+    return (
+        one is not None
+        and other is not None
+        and one.backend.zone == other.backend.zone
+        and one.backend.cell == other.backend.cell
+    )
 
 
 class Exchange:
     """One attempt or probe. Ends exactly once, with a Result."""
 
-    def __init__(self, backends: Backends, backend: BackendId, ask: Ask, timeout_us: int,
-                 done: Callable[[Result], None]) -> None:
+    def __init__(
+        self,
+        backends: Backends,
+        backend: BackendId,
+        ask: Ask,
+        timeout_us: int,
+        done: Callable[[Result], None],
+    ) -> None:
         self._backends, self._backend, self._ask, self._done = backends, backend, ask, done
         self._loop = asyncio.get_running_loop()
         self._began = backends.clock.now()
@@ -195,13 +206,21 @@
         answer = self._answer
         if self._connection is not None:
             self._backends.pool.give_back(
-                self._connection, answer is not None, self._backends.ready(self._backend))
+                self._connection, answer is not None, self._backends.ready(self._backend)
+            )
         latency_us = self._backends.clock.now() - self._began
         if answer is None:
             self._done(Result(outcome, latency_us))
         else:
-            self._done(Result(outcome, latency_us, self._report(answer), bytes(answer.body),
-                              answer.header(b"content-type")))
+            self._done(
+                Result(
+                    outcome,
+                    latency_us,
+                    self._report(answer),
+                    bytes(answer.body),
+                    answer.header(b"content-type"),
+                )
+            )
 
     def _report(self, answer: Message) -> tuple[float, ...]:
         fields = self._backends.report_fields
@@ -249,8 +268,9 @@
         member = self._members.get(backend)
         return member if member is not None and member.backend.state is State.READY else None
 
-    def exchange(self, backend: BackendId, ask: Ask, timeout_us: int,
-                 done: Callable[[Result], None]) -> Exchange:
+    def exchange(
+        self, backend: BackendId, ask: Ask, timeout_us: int, done: Callable[[Result], None]
+    ) -> Exchange:
         exchange = Exchange(self, backend, ask, timeout_us, done)
         try:
             exchange.start()
--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -5,6 +5,7 @@
 two uniform samples, compared by band), attempt plan (time-out, retry, hedge). The README says the design in
 short, and what is open.
 """
+
 from __future__ import annotations
 
 from bisect import bisect_left, bisect_right, insort
@@ -18,9 +19,36 @@
 from zlib import crc32
 
 from .interface import (
-    NEVER_RAN, Action, AttemptEnded, Backend, BackendId, BackendsChanged, Cancel, ClientGone, Discovery,
-    Effect, Event, Fail, Group, ListKind, Log, Outcome, PeerMessage, Probe, ProbeEnded, Refuse,
-    RequestArrived, RequestClass, Send, SetTimer, Settings, State, StreamStarted, Tell, TimerFired, Watch,
+    NEVER_RAN,
+    Action,
+    AttemptEnded,
+    Backend,
+    BackendId,
+    BackendsChanged,
+    Cancel,
+    ClientGone,
+    Discovery,
+    Effect,
+    Event,
+    Fail,
+    Group,
+    ListKind,
+    Log,
+    Outcome,
+    PeerMessage,
+    Probe,
+    ProbeEnded,
+    Refuse,
+    RequestArrived,
+    RequestClass,
+    Send,
+    SetTimer,
+    Settings,
+    State,
+    StreamStarted,
+    Tell,
+    TimerFired,
+    Watch,
 )
 
 MS, SECOND = 1_000, 1_000_000
@@ -67,10 +95,40 @@
 class Server:
     """What this balancer knows of one backend."""
 
-    __slots__ = ("id", "zone", "cell", "hint", "state", "started_at", "open", "residue", "residue_at",
-                 "others", "heard_at", "latency", "load", "samples", "answered_at", "ended_at",
-                 "failing", "streak", "out_until", "out_us", "allowance", "asked_at", "askers",
-                 "pace", "service", "news_at", "fade_us", "shift", "warm", "turn", "ready", "warming_from")
+    __slots__ = (
+        "id",
+        "zone",
+        "cell",
+        "hint",
+        "state",
+        "started_at",
+        "open",
+        "residue",
+        "residue_at",
+        "others",
+        "heard_at",
+        "latency",
+        "load",
+        "samples",
+        "answered_at",
+        "ended_at",
+        "failing",
+        "streak",
+        "out_until",
+        "out_us",
+        "allowance",
+        "asked_at",
+        "askers",
+        "pace",
+        "service",
+        "news_at",
+        "fade_us",
+        "shift",
+        "warm",
+        "turn",
+        "ready",
+        "warming_from",
+    )
 
     def __init__(self, b: Backend, now: int, turn: float) -> None:
         self.id, self.turn = b.id, turn
@@ -105,11 +163,29 @@
 class Request:
     """A request this balancer has taken, until its answer is given and its attempts have ended."""
 
-    __slots__ = ("id", "cls", "deadline", "aim_at", "gives_way", "sends", "out", "may_have_run",
-                 "tried", "done", "luck", "spare", "size", "pair", "silent", "pairs", "pairs_most")
-
-    def __init__(self, e: RequestArrived, cls: RequestClass, now: int, luck: float, spare: float,
-                 size: float) -> None:
+    __slots__ = (
+        "id",
+        "cls",
+        "deadline",
+        "aim_at",
+        "gives_way",
+        "sends",
+        "out",
+        "may_have_run",
+        "tried",
+        "done",
+        "luck",
+        "spare",
+        "size",
+        "pair",
+        "silent",
+        "pairs",
+        "pairs_most",
+    )
+
+    def __init__(
+        self, e: RequestArrived, cls: RequestClass, now: int, luck: float, spare: float, size: float
+    ) -> None:
         self.id, self.cls, self.deadline = e.request, cls, now + e.patience_us
         self.aim_at = min(now + cls.aim_us + int(cls.aim_stretch * e.cost_us), self.deadline)
         self.gives_way = self.done = False
@@ -127,8 +203,11 @@
     def may_refuse(self) -> bool:
         """A refusal says that trying again is harmless."""
         c = self.cls
-        return not self.may_have_run or c.effect is Effect.SAFE or (
-            c.effect is Effect.KEYED and c.group is Group.ALL)
+        return (
+            not self.may_have_run
+            or c.effect is Effect.SAFE
+            or (c.effect is Effect.KEYED and c.group is Group.ALL)
+        )
 
 
 @lru_cache(maxsize=4096)
@@ -525,12 +604,12 @@
         self.health = Health(self.rng, self._log)
         self.cold, self.warming = ColdBudget(settings), Warming(settings)
         self.shares = TenantShares(settings)
-        self.bearable = {c.name: min(d.aim_us for d in settings.classes if d.worth >= c.worth)
-                         for c in settings.classes}
+        self.bearable = {
+            c.name: min(d.aim_us for d in settings.classes if d.worth >= c.worth) for c in settings.classes
+        }
         self.idle = IDLE / settings.siblings
         # Asking both samples of each request must be cheap, and there must be something to learn by it.
-        self.asks = (settings.can_probe and self.table.column >= 0
-                     and 2 * settings.prices.probe <= PROBE_SPEND)
+        self.asks = settings.can_probe and self.table.column >= 0 and 2 * settings.prices.probe <= PROBE_SPEND
         self.ask_us = int(ASK_SHARE * min(c.aim_us for c in settings.classes))
         price, self.tells = settings.prices.peer, 0  # peers told of each report
         if settings.can_tell and self.table.column >= 0:
@@ -555,9 +634,14 @@
         # the answer is given in the round after.
         self.margin = max(0, 2 * settings.tick_us - settings.answer_slack_us // 2)
         self.handlers: dict[type, Callable[[Any], None]] = {
-            BackendsChanged: self._backends, RequestArrived: self._arrived, AttemptEnded: self._ended,
-            StreamStarted: self._streaming, ClientGone: self._gone, TimerFired: self._timer,
-            ProbeEnded: self._probed, PeerMessage: self._told,
+            BackendsChanged: self._backends,
+            RequestArrived: self._arrived,
+            AttemptEnded: self._ended,
+            StreamStarted: self._streaming,
+            ClientGone: self._gone,
+            TimerFired: self._timer,
+            ProbeEnded: self._probed,
+            PeerMessage: self._told,
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
@@ -690,8 +774,9 @@
         now = self.now
         self.settings.check(e, e.request in self.requests)
         size = self.table.size_of(e.cost_us)
-        r = Request(e, self.settings.classes[e.request_class], now, self.rng.random(), self.rng.random(),
-                    size)
+        r = Request(
+            e, self.settings.classes[e.request_class], now, self.rng.random(), self.rng.random(), size
+        )
         self.requests[e.request] = r
         self.budget = min(RETRY_BURST, self.budget + RETRY_SHARE)
         if not e.is_retry:
@@ -730,8 +815,15 @@
         # Or, where its traffic is more than its part, as many as come in while an answer may take its time,
         # less by what has gone of the capacity: the traffic stays.
         # And less as servers hold more than they bear in the mean: in a burst all come with more at once.
-        part = max(CROWD * self.capacity / self.settings.siblings, self.tries / OFTEN_US * HEADROOM
-                   * self.first_aim_us * self._left_over() * min(1.0, CROWD / (self.table.mean + 1.0)))
+        part = max(
+            CROWD * self.capacity / self.settings.siblings,
+            self.tries
+            / OFTEN_US
+            * HEADROOM
+            * self.first_aim_us
+            * self._left_over()
+            * min(1.0, CROWD / (self.table.mean + 1.0)),
+        )
         # The class that is worth most goes first, and one of which none was sent for long: alone, the first
         # kept what is out above the part of the others, and each place that came free was its own.
         first = r.cls.worth >= self.worthiest or self.now - self.sent_at.get(r.cls.name, 0) > OFTEN_US
@@ -747,8 +839,13 @@
         """Whether a place that frees up soon still serves it: one turned away comes back after its aim."""
         most = max(1.0, WAITING * len(self.ready) / self.settings.siblings)
         typical = self.table.typical
-        return (typical > 0 and self.now + IN_TIME * typical < r.aim_at and len(self.waiting) < most
-                and not r.gives_way and r.size <= 1.0)
+        return (
+            typical > 0
+            and self.now + IN_TIME * typical < r.aim_at
+            and len(self.waiting) < most
+            and not r.gives_way
+            and r.size <= 1.0
+        )
 
     def _wait(self, r: Request) -> None:
         r.pairs_most = r.pairs + ASK_PAIRS
@@ -837,7 +934,6 @@
             return self._wait(r)
         self._finish(r)
 
-
     # Sampling set and band choice
 
     def _pool(self, r: Request) -> list[Server]:
@@ -855,7 +951,8 @@
         if r.cls.effect is Effect.UNSAFE or self._window_left(r) <= 0:
             return False
         return r.cls.group is Group.ALL or (
-            s.zone == first.zone if r.cls.group is Group.ZONE else s.cell == first.cell)
+            s.zone == first.zone if r.cls.group is Group.ZONE else s.cell == first.cell
+        )
 
     def _window_left(self, r: Request) -> int:
         """How long a repeat of what may have run is still dropped by the others of its group."""
@@ -867,8 +964,9 @@
         silence = (self.now - s.news_at) * r.luck * self.cold.warmth(s, self.now) if self.tells else 0
         if silence > 2 * max(FRESH_US, self.now - self.table.news_at):
             return False
-        return (self.cold.admits(s, self.now, r.luck, self.asks, self.table, self.rng)
-                and self.health.admits(s, self.now, self.table.typical))
+        return self.cold.admits(s, self.now, r.luck, self.asks, self.table, self.rng) and self.health.admits(
+            s, self.now, self.table.typical
+        )
 
     def _two(self, r: Request, pool: list[Server]) -> tuple[Server, Server] | None:
         """Two uniform samples with replacement among the servers that are fit for this request."""
--- a/nickelmount/balancer/interface.py
+++ b/nickelmount/balancer/interface.py
@@ -3,6 +3,7 @@
 All times are integer microseconds on one monotonic clock that the caller passes in. A backend id may be any
 hashable value; it is handed back unmodified. Enumerations carry the field's usual names.
 """
+
 from __future__ import annotations
 
 from collections.abc import Hashable
@@ -92,8 +93,11 @@
         _need(self.window_us >= 0, "window_us", "must not be negative")
         _need(isfinite(self.worth) and self.worth >= 0, "worth", "must be finite and not negative")
         _need(0 <= self.late_worth <= 1, "late_worth", "must lie in 0..1")
-        _need(isfinite(self.aim_stretch) and self.aim_stretch >= 0, "aim_stretch",
-              "must be finite and not negative")
+        _need(
+            isfinite(self.aim_stretch) and self.aim_stretch >= 0,
+            "aim_stretch",
+            "must be finite and not negative",
+        )
 
 
 @dataclass(slots=True, frozen=True)
@@ -105,8 +109,11 @@
     share: float = 0.0
 
     def __post_init__(self) -> None:
-        _need(isfinite(self.quota_per_s) and self.quota_per_s >= 0, "quota_per_s",
-              "must be finite and not negative")
+        _need(
+            isfinite(self.quota_per_s) and self.quota_per_s >= 0,
+            "quota_per_s",
+            "must be finite and not negative",
+        )
 
 
 @dataclass(slots=True, frozen=True)
@@ -165,15 +172,21 @@
         _need(self.tick_us >= 0, "tick_us", "must not be negative")
         _need(self.answer_slack_us >= 0, "answer_slack_us", "must not be negative")
         _need(self.ask_within_us > 0, "ask_within_us", "must be above 0")
-        _need(0 <= 2 * self.list_call_us < self.ask_within_us, "list_call_us",
-              "must not be negative, and two calls must take less than ask_within_us")
+        _need(
+            0 <= 2 * self.list_call_us < self.ask_within_us,
+            "list_call_us",
+            "must not be negative, and two calls must take less than ask_within_us",
+        )
         _need(self.drain_grace_us >= 0, "drain_grace_us", "must not be negative")
         _need(self.max_retry_after_us >= 0, "max_retry_after_us", "must not be negative")
         _need(0 <= self.over_share_worth <= 1, "over_share_worth", "must lie in 0..1")
         _need(0 < self.start_fraction <= 1, "start_fraction", "must lie above 0 and at most at 1")
         _need(self.warm_up_us >= 0, "warm_up_us", "must not be negative")
-        _need(isfinite(self.fall_multiple) and self.fall_multiple > 0, "fall_multiple",
-              "must be finite and above 0")
+        _need(
+            isfinite(self.fall_multiple) and self.fall_multiple > 0,
+            "fall_multiple",
+            "must be finite and above 0",
+        )
         _need(self.fall_window_us > 0, "fall_window_us", "must be above 0")
 
     def check(self, e: RequestArrived, held: bool) -> None:
@@ -269,8 +282,16 @@
     payload: bytes
 
 
-Event = (BackendsChanged | RequestArrived | StreamStarted | AttemptEnded | ClientGone | TimerFired
-         | ProbeEnded | PeerMessage)
+Event = (
+    BackendsChanged
+    | RequestArrived
+    | StreamStarted
+    | AttemptEnded
+    | ClientGone
+    | TimerFired
+    | ProbeEnded
+    | PeerMessage
+)
 
 
 # Actions: what Balancer.handle returns, to be carried out in order.
--- a/nickelmount/fleet/__main__.py
+++ b/nickelmount/fleet/__main__.py
@@ -1,4 +1,5 @@
 """``python -m nickelmount.fleet``: runs experiments on a small fleet on loopback."""
+
 from __future__ import annotations
 
 import asyncio
@@ -17,10 +18,20 @@
 
 INTERRUPTED = 130  # as a shell has it after SIGINT
 
-OVERRIDES = click.option("--set", "overrides", multiple=True, metavar="KEY=VALUE",
-                         help="Another value for a key of the file, such as agents.hollow=20.")
-OUT = click.option("--out", type=click.Path(path_type=Path), default=Path("runs"), show_default=True,
-                   help="Where the file of results goes.")
+OVERRIDES = click.option(
+    "--set",
+    "overrides",
+    multiple=True,
+    metavar="KEY=VALUE",
+    help="Another value for a key of the file, such as agents.hollow=20.",
+)
+OUT = click.option(
+    "--out",
+    type=click.Path(path_type=Path),
+    default=Path("runs"),
+    show_default=True,
+    help="Where the file of results goes.",
+)
 
 
 @click.group()
@@ -34,8 +45,10 @@
 def check(file: Path, overrides: tuple[str, ...]) -> None:
     """Say whether an experiment file can be used."""
     e = _read(file, overrides)
-    click.echo(f"{file}: {e.name}: {e.servers.listed} servers, {e.agents.hollow} hollow and {e.agents.real} "
-               f"real agents, {len(e.events)} events in {e.seconds:g} s")
+    click.echo(
+        f"{file}: {e.name}: {e.servers.listed} servers, {e.agents.hollow} hollow and {e.agents.real} "
+        f"real agents, {len(e.events)} events in {e.seconds:g} s"
+    )
 
 
 @main.command()
--- a/nickelmount/fleet/agent_processes.py
+++ b/nickelmount/fleet/agent_processes.py
@@ -2,6 +2,7 @@
 
 They end with this process, which ends with its input.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -41,8 +42,14 @@
         began = time.monotonic()
         env = {**os.environ, "RELAY_CONFIG": str(self._path)}
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "nickelmount", env=env, stdin=asyncio.subprocess.DEVNULL,
-            stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "nickelmount",
+            env=env,
+            stdin=asyncio.subprocess.DEVNULL,
+            stdout=asyncio.subprocess.DEVNULL,
+            stderr=asyncio.subprocess.PIPE,
+        )
         async with asyncio.timeout(READY_S):
             self.port = await self._listens()
             self._config["listen"] = f"127.0.0.1:{self.port}"
--- a/nickelmount/fleet/catalog.py
+++ b/nickelmount/fleet/catalog.py
@@ -1,4 +1,5 @@
 """What discovery knows: the map servers, the revision of that list, and its last changes. No I/O."""
+
 from __future__ import annotations
 
 from collections import deque
@@ -77,8 +78,10 @@
         back = [e for e in self._listed.values() if e.phase != "SERVING"]
         gone, self._deleted = self._deleted, {}
         taken = {*self._listed, *gone}
-        back += [e if replaced is None else msgspec.structs.replace(e, id=_fresh_id(replaced, taken))
-                 for e in gone.values()]
+        back += [
+            e if replaced is None else msgspec.structs.replace(e, id=_fresh_id(replaced, taken))
+            for e in gone.values()
+        ]
         back = [msgspec.structs.replace(e, phase="SERVING", up_since_ms=up_since_ms) for e in back]
         self._made(back)
         return back
@@ -129,8 +132,14 @@
         return last.values()
 
 
-def pick(entries: Sequence[Entry], where: Where, random: Random, *,
-         share: float | None = None, count: int | None = None) -> list[str]:
+def pick(
+    entries: Sequence[Entry],
+    where: Where,
+    random: Random,
+    *,
+    share: float | None = None,
+    count: int | None = None,
+) -> list[str]:
     """Ids of so many entries, drawn anywhere, or of all in one whole rack, zone or region."""
     if where == "any":
         if (share is None) == (count is None):
@@ -150,13 +159,15 @@
 }
 
 
-def generate(servers: int, seed: int, regions: int, zones_per_region: int, racks_per_zone: int,
-             ports: Sequence[int]) -> list[Entry]:
+def generate(
+    servers: int, seed: int, regions: int, zones_per_region: int, racks_per_zone: int, ports: Sequence[int]
+) -> list[Entry]:
     """A fleet spread evenly over its racks, the same for the same arguments."""
     random = Random(seed)
     zones = [f"r{r}-z{z}" for z in range(zones_per_region) for r in range(regions)]
-    racks = [(zone, n * racks_per_zone + rack)
-             for rack in range(racks_per_zone) for n, zone in enumerate(zones)]
+    racks = [
+        (zone, n * racks_per_zone + rack) for rack in range(racks_per_zone) for n, zone in enumerate(zones)
+    ]
     taken: set[str] = set()
     entries = []
     for i in range(servers):
--- a/nickelmount/fleet/emulated_discovery.py
+++ b/nickelmount/fleet/emulated_discovery.py
@@ -1,4 +1,5 @@
 """A stand-in for discovery on loopback: serves a catalog by the protocol's page, and can fail in order."""
+
 from __future__ import annotations
 
 import asyncio
@@ -103,7 +104,8 @@
         self.deaf = True
         with suppress(OSError):  # the peer may have reset it already
             self.transport.get_extra_info("socket").setsockopt(
-                socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+            )
         self.transport.abort()
 
 
@@ -138,11 +140,27 @@
     # Commands
 
     def commands(self) -> Mapping[str, Command]:
-        return {"start": self.start, "change": self.change, "begin_outage": self.begin_outage,
-                "end_outage": self.end_outage, "drip": self.drip, "counts": self.count, "made": self.made}
-
-    async def start(self, servers: int, seed: int, regions: int, zones_per_region: int, racks_per_zone: int,
-                    ports: Sequence[int], history: int, revision: int = 1) -> dict[str, Any]:
+        return {
+            "start": self.start,
+            "change": self.change,
+            "begin_outage": self.begin_outage,
+            "end_outage": self.end_outage,
+            "drip": self.drip,
+            "counts": self.count,
+            "made": self.made,
+        }
+
+    async def start(
+        self,
+        servers: int,
+        seed: int,
+        regions: int,
+        zones_per_region: int,
+        racks_per_zone: int,
+        ports: Sequence[int],
+        history: int,
+        revision: int = 1,
+    ) -> dict[str, Any]:
         if self._holder is not None:
             raise ValueError("started already")
         entries = generate(servers, seed, regions, zones_per_region, racks_per_zone, ports)
@@ -151,11 +169,22 @@
         await self._listen()
         self._slot = int(self._loop.time() / SLOT_S)
         self._tick()
-        return {"port": self._holder.getsockname()[1], "revision": self._catalog.revision,
-                "list_bytes": len(self._catalog.answer(None)), "at_ns": time.monotonic_ns()}
-
-    async def change(self, phase: Phase, share: float | None = None, count: int | None = None,
-                     where: Where = "any", seed: int = 0, replaced: bool = False) -> dict[str, Any]:
+        return {
+            "port": self._holder.getsockname()[1],
+            "revision": self._catalog.revision,
+            "list_bytes": len(self._catalog.answer(None)),
+            "at_ns": time.monotonic_ns(),
+        }
+
+    async def change(
+        self,
+        phase: Phase,
+        share: float | None = None,
+        count: int | None = None,
+        where: Where = "any",
+        seed: int = 0,
+        replaced: bool = False,
+    ) -> dict[str, Any]:
         """One revision. SERVING: all that do not serve come back; else so many of those that serve change."""
         msgspec.convert(phase, Phase)
         random = Random(seed)
@@ -206,8 +235,14 @@
         return {}
 
     async def count(self) -> dict[str, Any]:
-        return {**asdict(self.counts), "open": len(self._open), "waiting": len(self._waiting),
-                "queued": len(self._queue), "revision": self._catalog.revision, **usage()}
+        return {
+            **asdict(self.counts),
+            "open": len(self._open),
+            "waiting": len(self._waiting),
+            "queued": len(self._queue),
+            "revision": self._catalog.revision,
+            **usage(),
+        }
 
     async def made(self) -> dict[str, Any]:
         """The last changes: the revision and the time of each, and how many entries it had."""
@@ -259,7 +294,8 @@
         self._socket = sock = _bound(self._holder.getsockname()[1])
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)  # of its connections too
         self._listener = await self._loop.create_server(
-            lambda: Watcher(self), sock=sock.dup(), backlog=ACCEPTS)
+            lambda: Watcher(self), sock=sock.dup(), backlog=ACCEPTS
+        )
         sock.listen(BACKLOG)  # asyncio's backlog is both: what waits in the kernel, and accepts in one turn
 
     async def _vanish(self) -> None:
--- a/nickelmount/fleet/emulated_endpoints.py
+++ b/nickelmount/fleet/emulated_endpoints.py
@@ -2,6 +2,7 @@
 
 They lie on both paths that are measured, through an agent and directly, so each does as little as it can.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -132,8 +133,10 @@
 
     def _answer(self, status: bytes, body: bytes, last: bool = False) -> None:
         assert self._transport is not None
-        self._transport.write(b"HTTP/1.1 %s\r\nServer-Load: %s\r\n%sContent-Length: %d\r\n\r\n%s" % (
-            status, self._server.load(), b"Connection: close\r\n" if last else b"", len(body), body))
+        self._transport.write(
+            b"HTTP/1.1 %s\r\nServer-Load: %s\r\n%sContent-Length: %d\r\n\r\n%s"
+            % (status, self._server.load(), b"Connection: close\r\n" if last else b"", len(body), body)
+        )
         if last:
             self._transport.close()
 
@@ -160,8 +163,13 @@
     async def counts(self) -> dict[str, Any]:
         """What has come since the start; `connections` are those accepted, open or not."""
         c = self._counts
-        return {"requests": c.requests, "probes": c.probes, "connections": c.connections,
-                "ids_seen_twice": len(c.seen_twice), **role.usage()}
+        return {
+            "requests": c.requests,
+            "probes": c.probes,
+            "connections": c.connections,
+            "ids_seen_twice": len(c.seen_twice),
+            **role.usage(),
+        }
 
     def close(self) -> None:
         for server in self._servers:
--- a/nickelmount/fleet/experiment.py
+++ b/nickelmount/fleet/experiment.py
@@ -1,4 +1,5 @@
 """The experiment file: sizes, seed and events, read from TOML and checked before anything starts."""
+
 from __future__ import annotations
 
 import tomllib
@@ -167,7 +168,8 @@
     for i, event in enumerate(e.events):
         if event.at_s > e.seconds:
             raise ExperimentError(
-                f"{path}: events[{i}].at_s: {event.at_s} is behind the end, seconds = {e.seconds}")
+                f"{path}: events[{i}].at_s: {event.at_s} is behind the end, seconds = {e.seconds}"
+            )
         if i and event.at_s < e.events[i - 1].at_s:
             raise ExperimentError(f"{path}: events[{i}].at_s: events are to be in order of time")
         if isinstance(event, Change) and event.where == "any" and event.count > e.servers.listed:
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -4,6 +4,7 @@
 application's side is never opened. `shared` lets those of one process share the entries of equal lists, which
 no two real agents do: figures of memory and of taking in a list are then not an agent's.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -85,9 +86,14 @@
         self._lives += 1
         config, hand = self._config, settings.lists_at_hand
         self.discovery = NotedDiscovery(
-            self.taken, config.discovery, config.parser, config.known.revision,
-            config.connect_timeout_us / 1e6, HAND_WAIT_MS if hand else WAIT_MS,
-            None if hand else Random(seed))
+            self.taken,
+            config.discovery,
+            config.parser,
+            config.known.revision,
+            config.connect_timeout_us / 1e6,
+            HAND_WAIT_MS if hand else WAIT_MS,
+            None if hand else Random(seed),
+        )
         pool = Pool(self._clock, config.connect_timeout_us, config.conn_idle_us, CONNECTIONS)
         backends = Backends(self._clock, settings.report_fields, pool)
         self.agent = Agent(Balancer(settings, seed), self._clock, backends, self.discovery)
@@ -142,15 +148,20 @@
 
     async def counts(self) -> dict[str, Any]:
         alive = [a.discovery for a in self._agents if a.discovery is not None]
-        return {"agents": len(alive), "lists": sum(len(a.taken) for a in self._agents),
-                "broken": sum(d.broken for d in alive), **usage()}
+        return {
+            "agents": len(alive),
+            "lists": sum(len(a.taken) for a in self._agents),
+            "broken": sum(d.broken for d in alive),
+            **usage(),
+        }
 
 
 async def main() -> None:
     logging.basicConfig(level=logging.ERROR)  # failed calls are counted
     worker = Worker()
-    await serve({"start": worker.start, "had": worker.had, "restart": worker.restart,
-                 "counts": worker.counts})
+    await serve(
+        {"start": worker.start, "had": worker.had, "restart": worker.restart, "counts": worker.counts}
+    )
 
 
 if __name__ == "__main__":
--- a/nickelmount/fleet/load_generator.py
+++ b/nickelmount/fleet/load_generator.py
@@ -4,6 +4,7 @@
 from then. Both paths take the same code, interleaved, on connections opened ahead, so that they differ by the
 agent alone. What this process adds itself is counted too: how late it wrote each call.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -82,14 +83,16 @@
 
     def __init__(self) -> None:
         self.from_due, self.from_written, self.lateness = (
-            HdrHistogram(1, HIGHEST_US, DIGITS) for _ in range(3))
+            HdrHistogram(1, HIGHEST_US, DIGITS) for _ in range(3)
+        )
         self.ends = {"served": 0, "refused": 0, "failed": 0, "lost": 0}
         self.calls = 0
         self.waited = 0  # calls that found no connection ready; their times hold a handshake
 
     def result(self) -> dict[str, Any]:
-        histograms = {name: getattr(self, name).encode().decode()
-                      for name in ("from_due", "from_written", "lateness")}
+        histograms = {
+            name: getattr(self, name).encode().decode() for name in ("from_due", "from_written", "lateness")
+        }
         return {**histograms, "calls": self.calls, "waited": self.waited, **self.ends}
 
 
@@ -252,9 +255,17 @@
     def __init__(self, request_class: str, method: str, timeout_ms: int, body_bytes: int, seed: int) -> None:
         if timeout_ms < 1 or body_bytes < 0 or (method == "GET" and body_bytes):
             raise ValueError("timeout_ms from 1 and body_bytes from 0 are wanted, and none with GET")
-        template = request(method.encode(), b"/api", [
-            (b"Host", b"origin.svc"), (b"Request-Class", request_class.encode()),
-            (b"Request-Timeout-Ms", b"%d" % timeout_ms), (b"Request-Id", MARK)], b"x" * body_bytes)
+        template = request(
+            method.encode(),
+            b"/api",
+            [
+                (b"Host", b"origin.svc"),
+                (b"Request-Class", request_class.encode()),
+                (b"Request-Timeout-Ms", b"%d" % timeout_ms),
+                (b"Request-Id", MARK),
+            ],
+            b"x" * body_bytes,
+        )
         self._before, self._after = template.split(MARK)
         self._life_s = timeout_ms / 1000 + GRACE_S
         self._run, self._numbers = Random(f"{seed} ids").getrandbits(32), count()
@@ -353,9 +364,19 @@
         self._pools: list[Pool] = []
         self._streams: list[Stream] = []
 
-    async def start(self, agents: list[dict[str, Any]], direct: list[dict[str, Any]], rate: float,
-                    direct_rate: float, arrivals: str, seed: int, request_class: str, method: str,
-                    timeout_ms: int, body_bytes: int) -> dict[str, Any]:
+    async def start(
+        self,
+        agents: list[dict[str, Any]],
+        direct: list[dict[str, Any]],
+        rate: float,
+        direct_rate: float,
+        arrivals: str,
+        seed: int,
+        request_class: str,
+        method: str,
+        timeout_ms: int,
+        body_bytes: int,
+    ) -> dict[str, Any]:
         """Open the connections, then call: every agent at `rate` a second, the direct ports in turn at
         `direct_rate` in all; 0 leaves a path out. Figures go into the phase "warm" till another is named."""
         if self._calls is not None:
@@ -400,8 +421,13 @@
         """The figures by phase and path; times in the histograms are in us. To be asked for after `stop`:
         encoding them holds the loop."""
         calls = self._started()
-        return {"phases": {name: {path: figures.result() for path, figures in paths.items()}
-                           for name, paths in calls.phases.items()}, **role.usage()}
+        return {
+            "phases": {
+                name: {path: figures.result() for path, figures in paths.items()}
+                for name, paths in calls.phases.items()
+            },
+            **role.usage(),
+        }
 
     def close(self) -> None:
         for stream in self._streams:
@@ -418,8 +444,9 @@
 async def main() -> None:
     caller = Caller()
     try:
-        await role.serve({"start": caller.start, "phase": caller.phase, "stop": caller.stop,
-                          "results": caller.results})
+        await role.serve(
+            {"start": caller.start, "phase": caller.phase, "stop": caller.stop, "results": caller.results}
+        )
     finally:
         caller.close()
 
--- a/nickelmount/fleet/role.py
+++ b/nickelmount/fleet/role.py
@@ -3,6 +3,7 @@
 A command is ``{"do": name, ...arguments}``; its answer is ``{"ok": {...}}`` or ``{"error": "one line"}``, one
 line each, in order. As the end of input ends the process, none is left behind whatever becomes of the runner.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -48,7 +49,7 @@
 
 def _say(line: bytes) -> None:
     while line:
-        line = line[os.write(1, line):]
+        line = line[os.write(1, line) :]
 
 
 def run(main: Callable[[], Awaitable[None]]) -> None:
--- a/nickelmount/fleet/role_process.py
+++ b/nickelmount/fleet/role_process.py
@@ -1,4 +1,5 @@
 """The runner's side of a role: a child process, its commands and its end."""
+
 from __future__ import annotations
 
 import asyncio
@@ -28,8 +29,14 @@
     @classmethod
     async def begin(cls, module: str) -> Role:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", f"nickelmount.fleet.{module}", stdin=asyncio.subprocess.PIPE,
-            stdout=asyncio.subprocess.PIPE, limit=LINE_BYTES, start_new_session=True)
+            sys.executable,
+            "-m",
+            f"nickelmount.fleet.{module}",
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            limit=LINE_BYTES,
+            start_new_session=True,
+        )
         return cls(module, process)
 
     async def call(self, name: str, /, **arguments: Any) -> dict[str, Any]:
--- a/nickelmount/fleet/runner.py
+++ b/nickelmount/fleet/runner.py
@@ -1,4 +1,5 @@
 """One play of an experiment: starts the roles, makes the events happen, and gathers the figures."""
+
 from __future__ import annotations
 
 import asyncio
@@ -96,14 +97,24 @@
         begun = await servers.call("start", ports=e.servers.sockets, work_ms=e.servers.work_ms)
         ports = begun["ports"]
         s = e.servers
-        shape = {"servers": s.listed, "seed": self._seed, "regions": s.regions,
-                 "zones_per_region": s.zones_per_region, "racks_per_zone": s.racks_per_zone, "ports": ports}
+        shape = {
+            "servers": s.listed,
+            "seed": self._seed,
+            "regions": s.regions,
+            "zones_per_region": s.zones_per_region,
+            "racks_per_zone": s.racks_per_zone,
+            "ports": ports,
+        }
         begun = await self._standin.call(
-            "start", **shape, history=e.discovery.history, revision=FIRST_REVISION)
+            "start", **shape, history=e.discovery.history, revision=FIRST_REVISION
+        )
         self._revision = self._first_revision = begun["revision"]
         self._figures["list.size.bytes"] = begun["list_bytes"]
-        known = {"revision": begun["revision"], "complete": True,
-                 "members": msgspec.to_builtins(generate(**shape))}
+        known = {
+            "revision": begun["revision"],
+            "complete": True,
+            "members": msgspec.to_builtins(generate(**shape)),
+        }
         await self._start_hollow(begun["port"], known)
         await self._start_real(begun["port"], known, ports)
         await self._warm()
@@ -120,9 +131,12 @@
             numbers = list(range(i, e.agents.hollow, count))
             self._workers.append((await self._role("hollow_agents"), numbers))
         begun = time.monotonic()
-        answers = await asyncio.gather(*(
-            role.call("start", config=config(e, 0, port, known), numbers=numbers, shared=e.agents.shared)
-            for role, numbers in self._workers))
+        answers = await asyncio.gather(
+            *(
+                role.call("start", config=config(e, 0, port, known), numbers=numbers, shared=e.agents.shared)
+                for role, numbers in self._workers
+            )
+        )
         grown = sum(a["rss_mb"] - a["before"]["rss_mb"] for a in answers)
         self._figures["hollow.memory.mb"] = grown / e.agents.hollow
         self._figures["hollow.start.s"] = time.monotonic() - begun
@@ -138,10 +152,18 @@
         self._figures["real.ready.s"] = max(begun["ready_s"])
         agents = [{"name": c["name"], "port": p} for c, p in zip(configs, begun["ports"], strict=True)]
         await self._caller.call(
-            "start", agents=agents, direct=[{"port": p} for p in ports], rate=e.calls.rate,
-            direct_rate=e.calls.direct_rate, arrivals=e.calls.arrivals, seed=self._seed,
-            request_class=REQUEST_CLASS, method=METHOD, timeout_ms=e.calls.timeout_ms,
-            body_bytes=e.calls.body_bytes)
+            "start",
+            agents=agents,
+            direct=[{"port": p} for p in ports],
+            rate=e.calls.rate,
+            direct_rate=e.calls.direct_rate,
+            arrivals=e.calls.arrivals,
+            seed=self._seed,
+            request_class=REQUEST_CLASS,
+            method=METHOD,
+            timeout_ms=e.calls.timeout_ms,
+            body_bytes=e.calls.body_bytes,
+        )
         await self._phase("warm")
 
     async def _phase(self, name: str) -> None:
@@ -165,9 +187,17 @@
         before = await self._counts()
         self._began = time.monotonic()
         await self._phase("steady")
-        happenings = sorted([*((ev.at_s, ev) for ev in e.events),
-                             *((ev.at_s + ev.for_s, Back(at_s=ev.at_s + ev.for_s, outage=ev))
-                               for ev in e.events if isinstance(ev, Outage))], key=lambda h: h[0])
+        happenings = sorted(
+            [
+                *((ev.at_s, ev) for ev in e.events),
+                *(
+                    (ev.at_s + ev.for_s, Back(at_s=ev.at_s + ev.for_s, outage=ev))
+                    for ev in e.events
+                    if isinstance(ev, Outage)
+                ),
+            ],
+            key=lambda h: h[0],
+        )
         for at_s, event in happenings:
             await self._until(at_s)
             label = f"{type(event).__name__.lower()}@{at_s:g}"
@@ -190,8 +220,10 @@
             await asyncio.sleep(min(left, 2.0))
             if left > 2.0:
                 c = await self._standin.call("counts")
-                self._say(f"{time.monotonic() - self._began:6.1f} s  revision {self._revision}, "
-                          f"{c['waiting']} wait, {c['calls']} calls, {c['bytes_out'] / 1e6:.1f} MB told")
+                self._say(
+                    f"{time.monotonic() - self._began:6.1f} s  revision {self._revision}, "
+                    f"{c['waiting']} wait, {c['calls']} calls, {c['bytes_out'] / 1e6:.1f} MB told"
+                )
 
     # Events
 
@@ -210,8 +242,13 @@
 
     async def _change(self, event: Change, label: str) -> None:
         made = await self._standin.call(
-            "change", count=event.count, where=event.where, phase=event.phase, replaced=event.replaced,
-            seed=self._rng.randrange(1 << 30))
+            "change",
+            count=event.count,
+            where=event.where,
+            phase=event.phase,
+            replaced=event.replaced,
+            seed=self._rng.randrange(1 << 30),
+        )
         self._revision = made["revision"]
         if self._down:
             self._changed_while_down = True
@@ -222,16 +259,19 @@
         ended = await self._standin.call("end_outage", history=event.outage.history)
         self._down = False
         if not self._changed_while_down:  # or there would be nothing to hear of, and to see when it was heard
-            ended |= await self._standin.call("change", count=1, where="any", phase="DRAINING",
-                                              seed=self._rng.randrange(1 << 30))
+            ended |= await self._standin.call(
+                "change", count=1, where="any", phase="DRAINING", seed=self._rng.randrange(1 << 30)
+            )
         self._revision = ended["revision"]
         self._marks.append(Mark(label, ended["revision"], ended["at_ns"]))
 
     async def _restart(self, event: Restart, label: str) -> None:
         e = self._e
         chosen = set(self._rng.sample(range(e.agents.hollow), round(event.share * e.agents.hollow)))
-        work = [role.call("restart", numbers=[n for n in numbers if n in chosen])
-                for role, numbers in self._workers]
+        work = [
+            role.call("restart", numbers=[n for n in numbers if n in chosen])
+            for role, numbers in self._workers
+        ]
         if event.real and e.agents.real:
             count = max(1, round(event.share * e.agents.real))
             work.append(self._keeper.call("restart", indices=self._rng.sample(range(e.agents.real), count)))
@@ -269,12 +309,16 @@
 
     async def _took_ms(self, mark: Mark) -> list[float]:
         """For each agent; -1: it has not got there."""
-        answers = await asyncio.gather(*(
-            role.call("had", revision=mark.revision, since_ns=mark.at_ns) for role, _ in self._workers))
+        answers = await asyncio.gather(
+            *(role.call("had", revision=mark.revision, since_ns=mark.at_ns) for role, _ in self._workers)
+        )
         chosen = set(mark.numbers)
-        return [(at_ns - mark.at_ns) / 1e6 if at_ns else -1.0
-                for (_, numbers), a in zip(self._workers, answers, strict=True)
-                for number, at_ns in zip(numbers, a["at_ns"], strict=True) if not chosen or number in chosen]
+        return [
+            (at_ns - mark.at_ns) / 1e6 if at_ns else -1.0
+            for (_, numbers), a in zip(self._workers, answers, strict=True)
+            for number, at_ns in zip(numbers, a["at_ns"], strict=True)
+            if not chosen or number in chosen
+        ]
 
     def _usage(self, before: dict[str, Any], after: dict[str, Any], seconds: float) -> None:
         e, f = self._e, self._figures
@@ -312,8 +356,11 @@
                     f[f"calls.{name}.{path}.{kind}.count"] = told[path][kind]
                 f[f"calls.all.{path}.{kind}.count"] = sum(told[path][kind] for told in phases.values())
         for name, told in phases.items():
-            found = {f"{path}.{what}": HdrHistogram.decode(told[path][what])
-                     for path in ("through", "direct") for what in ("from_due", "from_written", "lateness")}
+            found = {
+                f"{path}.{what}": HdrHistogram.decode(told[path][what])
+                for path in ("through", "direct")
+                for what in ("from_due", "from_written", "lateness")
+            }
             for key, histogram in found.items():
                 whole.setdefault(key, HdrHistogram(1, 60_000_000, 3)).add(histogram)
             self._latencies(name, found)
@@ -327,7 +374,8 @@
                 f[f"calls.{phase}.{key}.{name}.us"] = us
         for name in PERCENTILES:
             f[f"calls.{phase}.added.{name}.us"] = (
-                told["through.from_written"][name] - told["direct.from_written"][name])
+                told["through.from_written"][name] - told["direct.from_written"][name]
+            )
 
 
 class Back(Event, tag="back", frozen=True):
--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -2,6 +2,7 @@
 
 One size and one play is one fresh process, so that memory is that of one agent.
 """
+
 from __future__ import annotations
 
 import gc
@@ -15,7 +16,14 @@
 from typing import Any
 
 from nickelmount.balancer.interface import (
-    Action, AttemptEnded, BackendsChanged, Event, ListKind, Outcome, RequestArrived, Send,
+    Action,
+    AttemptEnded,
+    BackendsChanged,
+    Event,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    Send,
 )
 from nickelmount.balancer.balancer import Balancer
 from nickelmount.agent.upstream import Backends
@@ -46,8 +54,11 @@
     def __init__(self, servers: int, seed: int) -> None:
         self._random = Random(seed)
         self._e = Experiment(name="slopes", seed=seed)
-        shape = {"regions": self._e.servers.regions, "zones_per_region": self._e.servers.zones_per_region,
-                 "racks_per_zone": self._e.servers.racks_per_zone}
+        shape = {
+            "regions": self._e.servers.regions,
+            "zones_per_region": self._e.servers.zones_per_region,
+            "racks_per_zone": self._e.servers.racks_per_zone,
+        }
         self._catalog = Catalog(generate(servers, seed, ports=[9000], **shape), CHANGES)
         empty = {"revision": 0, "complete": True, "members": []}
         clock = Clock()
@@ -78,11 +89,15 @@
         changes = [self._change() for _ in range(CHANGES)]
         decisions = self._decisions()
         return {
-            "whole.size.bytes": float(len(body)), "whole.first.ms": whole_us / 1e3,
+            "whole.size.bytes": float(len(body)),
+            "whole.first.ms": whole_us / 1e3,
             "whole.again.ms": statistics.median(again) / 1e3,
-            "change.p50.us": statistics.median(changes), "change.most.us": max(changes),
-            "decision.p50.us": statistics.median(decisions), "decision.p99.us": _at(decisions, 0.99),
-            "decision.most.us": max(decisions), "memory.mb": memory_mb,
+            "change.p50.us": statistics.median(changes),
+            "change.most.us": max(changes),
+            "decision.p50.us": statistics.median(decisions),
+            "decision.p99.us": _at(decisions, 0.99),
+            "decision.most.us": max(decisions),
+            "memory.mb": memory_mb,
             "memory_most.mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1e3,
         }
 
@@ -111,8 +126,20 @@
             took.append(us)
             for send in actions:
                 if isinstance(send, Send):
-                    ends.append((self._now + ANSWER_US, AttemptEnded(
-                        number, send.attempt, send.backend, Outcome.OK, ANSWER_US, True, (1.0, 0.0, 10.0))))
+                    ends.append(
+                        (
+                            self._now + ANSWER_US,
+                            AttemptEnded(
+                                number,
+                                send.attempt,
+                                send.backend,
+                                Outcome.OK,
+                                ANSWER_US,
+                                True,
+                                (1.0, 0.0, 10.0),
+                            ),
+                        )
+                    )
         return took
 
 
--- a/nickelmount/protocol/settings.py
+++ b/nickelmount/protocol/settings.py
@@ -1,4 +1,5 @@
 """The settings as a deployment states them in JSON, translated for the adapter and for the agent."""
+
 from __future__ import annotations
 
 from typing import Any
@@ -19,10 +20,15 @@
         report = facts.get("report") or {}
         classes = tuple(
             q.RequestClass(
-                name=str(c["name"]), aim_us=int(c["aimUs"]), deadline_us=int(c["deadlineUs"]),
-                effect=EFFECTS[c["repeat"]], group=q.Group(c.get("dedupScope") or "all"),
-                window_us=int(c.get("memorySpanUs") or 0), worth=float(c.get("value", 1.0)),
-                late_worth=float(c.get("lateWorth") or 0.0), aim_stretch=float(c.get("aimStretch") or 0.0),
+                name=str(c["name"]),
+                aim_us=int(c["aimUs"]),
+                deadline_us=int(c["deadlineUs"]),
+                effect=EFFECTS[c["repeat"]],
+                group=q.Group(c.get("dedupScope") or "all"),
+                window_us=int(c.get("memorySpanUs") or 0),
+                worth=float(c.get("value", 1.0)),
+                late_worth=float(c.get("lateWorth") or 0.0),
+                aim_stretch=float(c.get("aimStretch") or 0.0),
             )
             for c in facts["profiles"]
         )
@@ -31,24 +37,35 @@
             for t in facts.get("tenants") or ()
         )
         return q.Settings(
-            classes=classes, tenants=tenants, zone=int(facts.get("zone", 0)), siblings=int(facts["siblings"]),
-            me=int(facts.get("me", 0)), can_tell=bool(allowed.get("peers")),
+            classes=classes,
+            tenants=tenants,
+            zone=int(facts.get("zone", 0)),
+            siblings=int(facts["siblings"]),
+            me=int(facts.get("me", 0)),
+            can_tell=bool(allowed.get("peers")),
             report_fields=tuple(report.get("columns") or ()) if report.get("source") != "off" else (),
             discovery=q.Discovery(facts["registryMode"]),
             ask_within_us=int(rules.get("askWithinUs") or 10_000_000),
             drain_grace_us=int(rules.get("drainGraceUs", 500_000)),
-            can_cancel=bool(allowed["cancel"]), can_probe=bool(allowed["probes"]),
-            second_copies=bool(allowed["secondCopies"]), max_attempts=int(allowed["maxAttempts"]),
+            can_cancel=bool(allowed["cancel"]),
+            can_probe=bool(allowed["probes"]),
+            second_copies=bool(allowed["secondCopies"]),
+            max_attempts=int(allowed["maxAttempts"]),
             retry_after=bool(allowed.get("retryAfter")),
             max_retry_after_us=int(allowed.get("maxRetryAfterUs") or 0),
-            tick_us=int(facts["quantumUs"]), answer_slack_us=int(rules.get("graceToAnswerUs") or 0),
+            tick_us=int(facts["quantumUs"]),
+            answer_slack_us=int(rules.get("graceToAnswerUs") or 0),
             over_share_worth=float(facts.get("overShareWorth", 1.0)),
             capacity_hints=facts.get("weightKind", "off") != "off",
-            start_fraction=float(rules["startCapacity"]), warm_up_us=int(rules["warmUpUs"]),
-            fall_multiple=float(rules["fallMultiple"]), fall_window_us=int(rules["tipAfterUs"]),
+            start_fraction=float(rules["startCapacity"]),
+            warm_up_us=int(rules["warmUpUs"]),
+            fall_multiple=float(rules["fallMultiple"]),
+            fall_window_us=int(rules["tipAfterUs"]),
             prices=q.Prices(
-                cross_zone=float(prices.get("crossZone", 0.0)), waste=float(prices.get("waste", 0.0)),
-                late_fail=float(prices.get("lateFail", 0.0)), probe=float(prices.get("probe", 0.0)),
+                cross_zone=float(prices.get("crossZone", 0.0)),
+                waste=float(prices.get("waste", 0.0)),
+                late_fail=float(prices.get("lateFail", 0.0)),
+                probe=float(prices.get("probe", 0.0)),
                 peer=float(prices.get("peer", 0.0)),
             ),
         )
--- a/nickelmount/simulator/__main__.py
+++ b/nickelmount/simulator/__main__.py
@@ -2,6 +2,7 @@
 
 Run as ``python -m nickelmount.simulator``. Bad input gives one line on standard error and exit status 2.
 """
+
 from __future__ import annotations
 
 import json
@@ -43,8 +44,14 @@
 SPAWN_CODE, DISCOVERY_CODE, PEER_CODE, CRASH_CODE, LIST_CODE, GIVE_IN_CODE = 10, 20, 90, 100, 110, 100
 
 OUTCOMES = {
-    0: q.Outcome.OK, 255: q.Outcome.ERROR, 254: q.Outcome.REJECTED, 253: q.Outcome.TIMEOUT,
-    252: q.Outcome.CONNECT_FAILED, 251: q.Outcome.RESET, 250: q.Outcome.CANCELLED, 249: q.Outcome.NOT_SENT,
+    0: q.Outcome.OK,
+    255: q.Outcome.ERROR,
+    254: q.Outcome.REJECTED,
+    253: q.Outcome.TIMEOUT,
+    252: q.Outcome.CONNECT_FAILED,
+    251: q.Outcome.RESET,
+    250: q.Outcome.CANCELLED,
+    249: q.Outcome.NOT_SENT,
 }
 STATES = {0: q.State.GONE, 1: q.State.READY, 2: q.State.DRAINING}
 LIST_KINDS = {0: q.ListKind.CACHED, 1: q.ListKind.DELTA, 2: q.ListKind.FULL, 4: q.ListKind.FAILED}
@@ -119,7 +126,7 @@
         instance, seed, offset, size = SPAWN.unpack_from(frame, at + 1)
         start = self.span(frame, tail, offset, size)
         try:
-            facts = json.loads(frame[start:start + size])
+            facts = json.loads(frame[start : start + size])
         except ValueError as e:
             raise WireError(f"settings: not JSON: {e}") from None
         if not isinstance(facts, dict):
@@ -135,13 +142,14 @@
         self.lists[number] = [
             q.Backend(b, STATES[state], zone, cell, kind, hint, started)
             for b, zone, kind, cell, state, hint, started in ENTRY.iter_unpack(
-                frame[start:start + entries * ENTRY_SIZE])
+                frame[start : start + entries * ENTRY_SIZE]
+            )
         ]
 
     def peer(self, frame: bytes, at: int, tail: int) -> q.PeerMessage:
         _, sender, offset, size = PEER.unpack_from(frame, at + 1)
         start = self.span(frame, tail, offset, size)
-        return q.PeerMessage(sender, frame[start:start + size])
+        return q.PeerMessage(sender, frame[start : start + size])
 
     def discovery(self, frame: bytes, at: int) -> q.BackendsChanged:
         _, _, number, kind_code = DISCOVERY.unpack_from(frame, at + 1)
@@ -183,7 +191,12 @@
 
 
 DECODERS: dict[int, Callable[[bytes, int], q.Event]] = {
-    30: _request, 40: _stream, 50: _ended, 60: _client_gone, 70: _timer, 80: _probed,
+    30: _request,
+    40: _stream,
+    50: _ended,
+    60: _client_gone,
+    70: _timer,
+    80: _probed,
 }
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,5 @@
 """A small driver for module tests: no clock, no network."""
+
 from __future__ import annotations
 
 from typing import Any, TypeVar
@@ -34,8 +35,14 @@
 class Drive:
     """One balancer with its clock, its pending timers and the actions it has returned."""
 
-    def __init__(self, cls: RequestClass = SAFE, servers: int = 4, seed: int = 1,
-                 others: tuple[RequestClass, ...] = (), **settings: Any) -> None:
+    def __init__(
+        self,
+        cls: RequestClass = SAFE,
+        servers: int = 4,
+        seed: int = 1,
+        others: tuple[RequestClass, ...] = (),
+        **settings: Any,
+    ) -> None:
         self.settings = Settings(classes=(cls, *others), tick_us=MS, **settings)
         self.balancer = Balancer(self.settings, seed)
         self.now = SECOND
@@ -62,8 +69,14 @@
         self.requests += 1
         return self.requests, self.event(RequestArrived(self.requests, 0, patience_us, tenant))
 
-    def end(self, send: Send, outcome: Outcome, took_us: int = 20 * MS, attempt: int | None = None,
-            report: tuple[float, ...] = ()) -> list[Action]:
+    def end(
+        self,
+        send: Send,
+        outcome: Outcome,
+        took_us: int = 20 * MS,
+        attempt: int | None = None,
+        report: tuple[float, ...] = (),
+    ) -> list[Action]:
         n = self.attempts[send.request] if attempt is None else attempt
         done = outcome is Outcome.OK
         return self.event(AttemptEnded(send.request, n, send.backend, outcome, took_us, done, report))
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,5 @@
 """Scripted peers on loopback, and an agent between them. The system picks the ports; tests wait on events."""
+
 from __future__ import annotations
 
 import asyncio
@@ -25,26 +26,64 @@
 def settings(**allowed: Any) -> dict[str, Any]:
     """Settings as a deployment states them; probes are off unless asked for."""
     return {
-        "allowed": {"cancel": True, "connIdleUs": 5_000_000, "connectTimeoutUs": 250_000, "maxAttempts": 5,
-                    "peers": False, "probes": False, "retryAfter": True, "maxRetryAfterUs": 2_000_000,
-                    "secondCopies": False, **allowed},
+        "allowed": {
+            "cancel": True,
+            "connIdleUs": 5_000_000,
+            "connectTimeoutUs": 250_000,
+            "maxAttempts": 5,
+            "peers": False,
+            "probes": False,
+            "retryAfter": True,
+            "maxRetryAfterUs": 2_000_000,
+            "secondCopies": False,
+            **allowed,
+        },
         "profiles": [
-            {"name": KEYED, "aimUs": 20_000_000, "deadlineUs": 30_000_000, "repeat": "dedup",
-             "dedupScope": "all", "memorySpanUs": 15_000_000, "value": 10.0},
-            {"name": UNSAFE, "aimUs": 20_000_000, "deadlineUs": 30_000_000, "repeat": "fragile",
-             "value": 3.0},
+            {
+                "name": KEYED,
+                "aimUs": 20_000_000,
+                "deadlineUs": 30_000_000,
+                "repeat": "dedup",
+                "dedupScope": "all",
+                "memorySpanUs": 15_000_000,
+                "value": 10.0,
+            },
+            {
+                "name": UNSAFE,
+                "aimUs": 20_000_000,
+                "deadlineUs": 30_000_000,
+                "repeat": "fragile",
+                "value": 3.0,
+            },
         ],
         "tenants": [{"name": "norvalle", "quotaPerS": 0.0, "share": 1.0}],
         "report": {"columns": ["inflight", "queue", "util"], "source": "inline"},
-        "rules": {"startCapacity": 0.13, "warmUpUs": 24_000_000, "fallMultiple": 2.5, "tipAfterUs": 3_000_000,
-                  "graceToAnswerUs": 5000},
-        "siblings": 1, "registryMode": "ask", "quantumUs": 1000, "localities": ["a"], "skus": ["m"],
+        "rules": {
+            "startCapacity": 0.13,
+            "warmUpUs": 24_000_000,
+            "fallMultiple": 2.5,
+            "tipAfterUs": 3_000_000,
+            "graceToAnswerUs": 5000,
+        },
+        "siblings": 1,
+        "registryMode": "ask",
+        "quantumUs": 1000,
+        "localities": ["a"],
+        "skus": ["m"],
     }
 
 
 def member(name: str, port: int, phase: str = "SERVING", up: int = 0) -> dict[str, Any]:
-    return {"id": name, "host_port": f"127.0.0.1:{port}", "locality": "a", "flavor": "m", "cell": 1,
-            "phase": phase, "size": 1.0, "up_since_ms": up}
+    return {
+        "id": name,
+        "host_port": f"127.0.0.1:{port}",
+        "locality": "a",
+        "flavor": "m",
+        "cell": 1,
+        "phase": phase,
+        "size": 1.0,
+        "up_since_ms": up,
+    }
 
 
 @dataclass
@@ -141,11 +180,23 @@
         self.server.close()
 
 
-def post(cls: str = KEYED, body: bytes = b"job", timeout_ms: str = "30000", drop: tuple[str, ...] = (),
-         path: str = "/api?obj=7f3a", **headers: str) -> bytes:
+def post(
+    cls: str = KEYED,
+    body: bytes = b"job",
+    timeout_ms: str = "30000",
+    drop: tuple[str, ...] = (),
+    path: str = "/api?obj=7f3a",
+    **headers: str,
+) -> bytes:
     """A request of the application; headers by name with _ for -."""
-    fields = {"Host": "origin.svc", "Request-Id": "9b1f", "Request-Class": cls, "Tenant": "norvalle",
-              "Request-Timeout-Ms": timeout_ms, "Content-Length": str(len(body))}
+    fields = {
+        "Host": "origin.svc",
+        "Request-Id": "9b1f",
+        "Request-Class": cls,
+        "Tenant": "norvalle",
+        "Request-Timeout-Ms": timeout_ms,
+        "Content-Length": str(len(body)),
+    }
     if cls == KEYED:
         fields["Idempotency-Key"] = "5c0f"
     fields |= {k.replace("_", "-"): v for k, v in headers.items()}
@@ -154,9 +205,15 @@
 
 
 def config_doc(discovery: int, members: list[dict[str, Any]], **allowed: Any) -> dict[str, Any]:
-    return {"name": "n1", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery}", "seed": "8c1f",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings(**allowed),
-            "known": {"revision": 41, "complete": True, "members": members}}
+    return {
+        "name": "n1",
+        "listen": "127.0.0.1:0",
+        "discovery": f"127.0.0.1:{discovery}",
+        "seed": "8c1f",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "settings": settings(**allowed),
+        "known": {"revision": 41, "complete": True, "members": members},
+    }
 
 
 @dataclass
@@ -201,8 +258,9 @@
 
 
 @contextlib.asynccontextmanager
-async def world(folder: Path, backends: int = 1, most: int | None = None, times: ClientTimes | None = None,
-                **allowed: Any) -> AsyncIterator[World]:
+async def world(
+    folder: Path, backends: int = 1, most: int | None = None, times: ClientTimes | None = None, **allowed: Any
+) -> AsyncIterator[World]:
     """Everything up and listening; all of it ends with the block."""
     discovery = await Peer().start()
     peers = [await Peer().start() for _ in range(backends)]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,5 @@
 """The wire: bad input is told plainly; the same events give the same bytes whatever the process."""
+
 from __future__ import annotations
 
 import json
@@ -14,9 +15,13 @@
 ROOT = Path(__file__).parent.parent
 FACTS: dict[str, Any] = {
     "allowed": {"cancel": True, "probes": False, "secondCopies": True, "maxAttempts": 4},
-    "siblings": 2, "zone": 0,
-    "profiles": [{"name": "a", "aimUs": 500000, "deadlineUs": 2000000, "repeat": "retryable"}], "unknown": 1,
-    "registryMode": "push", "quantumUs": 5000, "report": {"columns": ["inflight"], "source": "inline"},
+    "siblings": 2,
+    "zone": 0,
+    "profiles": [{"name": "a", "aimUs": 500000, "deadlineUs": 2000000, "repeat": "retryable"}],
+    "unknown": 1,
+    "registryMode": "push",
+    "quantumUs": 5000,
+    "report": {"columns": ["inflight"], "source": "inline"},
     "rules": {"startCapacity": 0.2, "warmUpUs": 10_000_000, "fallMultiple": 3.0, "tipAfterUs": 1_000_000},
 }
 
@@ -58,7 +63,8 @@
 def run(data: bytes, seed: str = "0") -> subprocess.CompletedProcess[bytes]:
     env = {**os.environ, "PYTHONHASHSEED": seed, "PYTHONPATH": str(ROOT)}
     return subprocess.run(
-        [sys.executable, "-m", "nickelmount.simulator"], input=data, capture_output=True, env=env)
+        [sys.executable, "-m", "nickelmount.simulator"], input=data, capture_output=True, env=env
+    )
 
 
 def replies(data: bytes) -> list[bytes]:
@@ -77,7 +83,7 @@
     both = replies(together.stdout)
     for i in (0, 1):
         alone = replies(run(script([i])).stdout)
-        assert alone == [both[i], *both[2 + i::2]]
+        assert alone == [both[i], *both[2 + i :: 2]]
     assert any(reply[8:9] == b"\x0a" for reply in both)  # sends were made
 
 
@@ -94,7 +100,9 @@
     "records do not fit": (struct.pack(">QII", 1, 16, 2), b"do not fit"),
     "unknown code": (frame(1, [spawn(0, FACTS_BYTES), struct.pack(">BH", 99, 0)], FACTS_BYTES), b"code 99"),
     "unknown list": (
-        frame(1, [spawn(0, FACTS_BYTES), struct.pack(">BHQBB", 20, 0, 1, 3, 2)], FACTS_BYTES), b"list 3"),
+        frame(1, [spawn(0, FACTS_BYTES), struct.pack(">BHQBB", 20, 0, 1, 3, 2)], FACTS_BYTES),
+        b"list 3",
+    ),
     "not running": (frame(1, [request(5, 1)]), b"instance 5"),
     "beyond the tail": (frame(1, [spawn(0, FACTS_BYTES)]), b"beyond the tail"),
     "not JSON": (frame(1, [spawn(0, b"{")], b"{"), b"not JSON"),
@@ -103,7 +111,9 @@
     "out of range": (frame(1, [spawn(0, RANGE)], RANGE), b"start_fraction"),
     "unknown outcome": (frame(1, [spawn(0, FACTS_BYTES), ended(0, 77)], FACTS_BYTES), b"bad value 77"),
     "note beyond the tail": (
-        frame(1, [spawn(0, FACTS_BYTES), struct.pack(">BHHII", 90, 0, 1, 9999, 4)], FACTS_BYTES), b"beyond"),
+        frame(1, [spawn(0, FACTS_BYTES), struct.pack(">BHHII", 90, 0, 1, 9999, 4)], FACTS_BYTES),
+        b"beyond",
+    ),
     "over-long frame": (struct.pack(">QII", 1, 1 << 31, 0) + b"x" * 50, b"ends"),
     "key lacks": (frame(1, [spawn(0, LACKING)], LACKING), b"rules"),
 }
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,5 @@
 """The agent between scripted peers: answers given once, attempts by the rules, faults contained."""
+
 from __future__ import annotations
 
 import asyncio
@@ -61,7 +62,8 @@
 
 @pytest.mark.parametrize("cls, status", [(KEYED, 200), (UNSAFE, 502)])
 def test_what_may_have_run_is_repeated_only_where_repeats_are_dropped(
-        tmp_path: Path, cls: str, status: int) -> None:
+    tmp_path: Path, cls: str, status: int
+) -> None:
     async def run() -> None:
         async with world(tmp_path, backends=3) as w:
             assert await outcome_of_reset(w, cls) == status
@@ -128,7 +130,8 @@
 
 
 def test_a_fault_of_the_module_costs_one_request_at_most(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     whole = Balancer.handle
     failed: list[Event] = []
 
@@ -152,10 +155,14 @@
 
 
 def test_a_request_that_the_module_forgets_is_answered_all_the_same(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     whole = Balancer.handle
-    monkeypatch.setattr(Balancer, "handle", lambda self, now, event: (
-        [] if isinstance(event, RequestArrived) else whole(self, now, event)))
+    monkeypatch.setattr(
+        Balancer,
+        "handle",
+        lambda self, now, event: [] if isinstance(event, RequestArrived) else whole(self, now, event),
+    )
 
     async def run() -> None:
         async with world(tmp_path) as w:
@@ -166,7 +173,8 @@
 
 
 def test_an_action_that_ends_at_once_does_not_re_enter_the_module(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     whole, depth, deepest = Balancer.handle, [0], [0]
 
     def handle(self: Balancer, now: int, event: Event) -> list[Any]:
@@ -175,6 +183,7 @@
         return actions
 
     from nickelmount.agent.agent import Agent
+
     handled = Agent._handle
 
     def agent_handle(self: Agent, event: Event) -> None:
@@ -201,7 +210,8 @@
 
 
 def test_a_send_for_a_request_already_answered_ends_in_the_module_too(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # What has no end counts for ever in the module's bound on attempts out.
     whole, agents = Balancer.handle, list[Any]()
 
@@ -230,7 +240,8 @@
 
 
 def test_an_attempt_that_cannot_be_started_ends_in_the_module_too(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     whole, tries = Pool.take, list[int]()
 
     def take(self: Pool, member: Member) -> Pooled | None:
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,4 +1,5 @@
 """How an exchange with a backend ends, by the protocol's table, and which connections are used again."""
+
 from __future__ import annotations
 
 import asyncio
@@ -27,8 +28,9 @@
     return parser.parse({"revision": 1, "complete": False, "members": [member("s", port, phase, up)]})
 
 
-def backends(port: int, idle_us: int = 60_000_000, connect_us: int = 10_000_000, most: int = 9,
-             rest_us: int = 0) -> Backends:
+def backends(
+    port: int, idle_us: int = 60_000_000, connect_us: int = 10_000_000, most: int = 9, rest_us: int = 0
+) -> Backends:
     made = Backends(CLOCK, FIELDS, Pool(CLOCK, connect_us, idle_us, most, rest_us))
     made.told(listing(port))
     return made
@@ -65,25 +67,34 @@
     return lambda m: m.answer(status, b"", **headers)
 
 
-@pytest.mark.parametrize("then, outcome", [
-    (answers(200), Outcome.OK), (answers(500), Outcome.ERROR), (answers(503), Outcome.ERROR),
-    (answers(400), Outcome.ERROR), (answers(500, Not_Started="1"), Outcome.ERROR),
-    (answers(503, Not_Started="0"), Outcome.ERROR), (answers(503, Not_Started="1"), Outcome.REJECTED),
-    (answers(504, Not_Started="1"), Outcome.REJECTED), (cut_short, Outcome.RESET), (reset, Outcome.RESET),
-    (close, Outcome.RESET),
-    (spoilt(b"what?\r\n\r\n"), Outcome.ERROR),
-    (spoilt(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000), Outcome.ERROR),
-    (spoilt(OK + b"Content-Length: 3000000000\r\n\r\nx"), Outcome.ERROR),
-    (spoilt(OK + b"Content-Length: -4\r\n\r\ndone"), Outcome.ERROR),
-    (spoilt(OK + b"Content-Length: 4\r\nContent-Length: 5\r\n\r\ndone"), Outcome.ERROR),
-    (spoilt(OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), Outcome.ERROR),
-    (spoilt(OK + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n"), Outcome.ERROR),
-    (spoilt(OK + b"Transfer-Encoding: chunked\r\n\r\n111700\r\n" + b"x" * 1_100_000), Outcome.ERROR),
-    (spoilt(OK + b"\r\nendless"), Outcome.ERROR),
-    (spoilt(b"HTTP/1.1 100 Continue\r\n\r\n" * 99), Outcome.ERROR),
-    (spoilt(b"HTTP/1.1 101 Switching Protocols\r\n\r\n"), Outcome.ERROR),
-    (spoilt(b"HTTP/1.1 102 Wait\r\n\r\n" + OK + b"Content-Length: 0\r\n\r\n"), Outcome.OK),
-])
+@pytest.mark.parametrize(
+    "then, outcome",
+    [
+        (answers(200), Outcome.OK),
+        (answers(500), Outcome.ERROR),
+        (answers(503), Outcome.ERROR),
+        (answers(400), Outcome.ERROR),
+        (answers(500, Not_Started="1"), Outcome.ERROR),
+        (answers(503, Not_Started="0"), Outcome.ERROR),
+        (answers(503, Not_Started="1"), Outcome.REJECTED),
+        (answers(504, Not_Started="1"), Outcome.REJECTED),
+        (cut_short, Outcome.RESET),
+        (reset, Outcome.RESET),
+        (close, Outcome.RESET),
+        (spoilt(b"what?\r\n\r\n"), Outcome.ERROR),
+        (spoilt(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000), Outcome.ERROR),
+        (spoilt(OK + b"Content-Length: 3000000000\r\n\r\nx"), Outcome.ERROR),
+        (spoilt(OK + b"Content-Length: -4\r\n\r\ndone"), Outcome.ERROR),
+        (spoilt(OK + b"Content-Length: 4\r\nContent-Length: 5\r\n\r\ndone"), Outcome.ERROR),
+        (spoilt(OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), Outcome.ERROR),
+        (spoilt(OK + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n"), Outcome.ERROR),
+        (spoilt(OK + b"Transfer-Encoding: chunked\r\n\r\n111700\r\n" + b"x" * 1_100_000), Outcome.ERROR),
+        (spoilt(OK + b"\r\nendless"), Outcome.ERROR),
+        (spoilt(b"HTTP/1.1 100 Continue\r\n\r\n" * 99), Outcome.ERROR),
+        (spoilt(b"HTTP/1.1 101 Switching Protocols\r\n\r\n"), Outcome.ERROR),
+        (spoilt(b"HTTP/1.1 102 Wait\r\n\r\n" + OK + b"Content-Length: 0\r\n\r\n"), Outcome.OK),
+    ],
+)
 def test_outcomes_after_the_last_byte(then: Callable[[Message], Awaitable[None]], outcome: Outcome) -> None:
     async def run() -> None:
         peer = await Peer().start()
@@ -346,8 +357,11 @@
         peer, other = await Peer().start(), await Peer().start()
         b = backends(peer.port, most=1)
         message = await served(b, peer)
-        b.told(ListingParser(CLOCK, (), ()).parse(
-            {"revision": 2, "complete": False, "members": [member("t", other.port)]}))
+        b.told(
+            ListingParser(CLOCK, (), ()).parse(
+                {"revision": 2, "complete": False, "members": [member("t", other.port)]}
+            )
+        )
         end: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
         b.exchange("t", ASK, 60_000_000, end.set_result)
         await message.peer.ended()
@@ -359,11 +373,21 @@
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-@pytest.mark.parametrize("text, report", [
-    ("inflight=7,queue=2,util=0.61", (7.0, 2.0, 0.61)), ("util=1,queue=1,inflight=3,new=9", (3.0, 1.0, 1.0)),
-    ("inflight=7,queue=2", ()), ("inflight=many,queue=2,util=0", ()), ("inflight=nan,queue=2,util=0", ()),
-    ("inflight=-1,queue=0,util=0", ()), ("inflight=inf,queue=0,util=0", ()), ("", ()), (None, ()), ("x", ()),
-])
+@pytest.mark.parametrize(
+    "text, report",
+    [
+        ("inflight=7,queue=2,util=0.61", (7.0, 2.0, 0.61)),
+        ("util=1,queue=1,inflight=3,new=9", (3.0, 1.0, 1.0)),
+        ("inflight=7,queue=2", ()),
+        ("inflight=many,queue=2,util=0", ()),
+        ("inflight=nan,queue=2,util=0", ()),
+        ("inflight=-1,queue=0,util=0", ()),
+        ("inflight=inf,queue=0,util=0", ()),
+        ("", ()),
+        (None, ()),
+        ("x", ()),
+    ],
+)
 def test_a_bad_report_is_no_report(text: str | None, report: tuple[float, ...]) -> None:
     assert parse_report(text, FIELDS) == report
 
@@ -394,11 +418,17 @@
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-@pytest.mark.parametrize("begun", [
-    b"Transfer-Encoding: chunked\r\n\r\n0\r\nX-Trailer: ", b"Transfer-Encoding: chunked\r\n\r\n5;extension=",
-    b"X-Header: ", b"Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\nX-Trailer: ",
-    b"Content-Length: 900000000\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n35a4e900\r\n",
-])
+@pytest.mark.parametrize(
+    "begun",
+    [
+        b"Transfer-Encoding: chunked\r\n\r\n0\r\nX-Trailer: ",
+        b"Transfer-Encoding: chunked\r\n\r\n5;extension=",
+        b"X-Header: ",
+        b"Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\nX-Trailer: ",
+        b"Content-Length: 900000000\r\n\r\n",
+        b"Transfer-Encoding: chunked\r\n\r\n35a4e900\r\n",
+    ],
+)
 def test_an_answer_that_never_ends_is_given_up_within_a_bound(begun: bytes) -> None:
     async def run() -> None:
         peer = await Peer().start()
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,4 +1,5 @@
 """The measuring client and the plain map servers: what they count has to be right before any figure is."""
+
 from __future__ import annotations
 
 import asyncio
@@ -52,14 +53,21 @@
         servers, calls = MapServers(), calls_of()
         ports = (await servers.start(2, work_ms=1.0))["ports"]
         pools = [Pool(calls, port) for port in ports]
-        for pool, path, phase, number in ((pools[0], "through", "calm", 20), (pools[1], "direct", "calm", 30),
-                                          (pools[1], "direct", "changes", 5)):
+        for pool, path, phase, number in (
+            (pools[0], "through", "calm", 20),
+            (pools[1], "direct", "calm", 30),
+            (pools[1], "direct", "changes", 5),
+        ):
             calls.begin(phase)  # those of the phase before are still open
             for _ in range(number):
                 calls.start(pool, path, time.monotonic_ns())
         await calls.none_open.wait()
-        wanted = {("calm", "through"): 20, ("calm", "direct"): 30, ("changes", "through"): 0,
-                  ("changes", "direct"): 5}
+        wanted = {
+            ("calm", "through"): 20,
+            ("calm", "direct"): 30,
+            ("changes", "through"): 0,
+            ("changes", "direct"): 5,
+        }
         for (phase, path), number in wanted.items():
             figures = result(calls, path, phase)
             assert figures["calls"] == figures["served"] == number
@@ -213,9 +221,15 @@
 
     async def start(self, module: str) -> Role:
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", module, cwd=Path(__file__).parent.parent,
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-            limit=2**24)
+            sys.executable,
+            "-m",
+            module,
+            cwd=Path(__file__).parent.parent,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+            limit=2**24,
+        )
         return self
 
     async def do(self, name: str, /, **arguments: Any) -> dict[str, Any]:
@@ -234,9 +248,19 @@
         servers = await Role().start("nickelmount.fleet.emulated_endpoints")
         client = await Role().start("nickelmount.fleet.load_generator")
         ports = (await servers.do("start", ports=3, work_ms=0))["ports"]
-        await client.do("start", agents=[{"name": "n1", "port": ports[0]}], rate=200, direct_rate=200,
-                        direct=[{"port": p} for p in ports[1:]], arrivals="poisson", seed=3,
-                        request_class="tile", method="GET", timeout_ms=5000, body_bytes=0)
+        await client.do(
+            "start",
+            agents=[{"name": "n1", "port": ports[0]}],
+            rate=200,
+            direct_rate=200,
+            direct=[{"port": p} for p in ports[1:]],
+            arrivals="poisson",
+            seed=3,
+            request_class="tile",
+            method="GET",
+            timeout_ms=5000,
+            body_bytes=0,
+        )
         for phase, least in (("calm", 50), ("changes", 100)):
             await client.do("phase", name=phase)
             while (await servers.do("counts"))["requests"] < least:
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -1,4 +1,5 @@
 """What a discovery answers by index: the client ends with its list, whatever has become of the history."""
+
 from __future__ import annotations
 
 import json
@@ -35,7 +36,9 @@
     body = asked(c, 1)
     assert (body["revision"], body["complete"]) == (4, False)
     assert {(m["id"], m["phase"], m["up_since_ms"]) for m in body["members"]} == {
-        (a, "SERVING", NOW), (b, "DELETED", 0)}
+        (a, "SERVING", NOW),
+        (b, "DELETED", 0),
+    }
     assert [m["id"] for m in asked(c, 3)["members"]] == [b]
     assert asked(c, 4) == {"revision": 4, "complete": False, "members": []}
     assert b not in ids(c) and other in ids(c)
@@ -103,13 +106,18 @@
         pick(fleet, "any", Random(1))
 
 
-STEPS = st.lists(st.tuples(st.sampled_from(["drain", "delete", "back", "replace", "add", "forget", "ask"]),
-                           st.integers(0, 5)), max_size=30)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["drain", "delete", "back", "replace", "add", "forget", "ask"]), st.integers(0, 5)
+    ),
+    max_size=30,
+)
 
 
 @given(history=st.integers(0, 12), steps=STEPS, servers=st.integers(0, 8))
-def test_who_applies_the_answers_ends_with_the_list(history: int, steps: list[tuple[str, int]],
-                                                    servers: int) -> None:
+def test_who_applies_the_answers_ends_with_the_list(
+    history: int, steps: list[tuple[str, int]], servers: int
+) -> None:
     c = catalog(servers, history)
     known: dict[str, Any] = {}
     index: int | None = None
@@ -121,8 +129,9 @@
         elif step in ("back", "replace"):
             c.restore(NOW + n, random if step == "replace" else None)
         elif step == "add":
-            c.add([Entry(f"new-{n}-{i}", "h:1", "r0-z0", "mid-1c", 0, "SERVING", 1.0, 0)
-                   for i in range(count)])
+            c.add(
+                [Entry(f"new-{n}-{i}", "h:1", "r0-z0", "mid-1c", 0, "SERVING", 1.0, 0) for i in range(count)]
+            )
         elif step == "forget":
             c.forget_history()
         else:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,4 +1,5 @@
 """Cold servers: what all balancers together send to one that has just started, by the rule on their fall."""
+
 from __future__ import annotations
 
 from bisect import bisect_left
@@ -65,8 +66,9 @@
         return most
 
 
-def fullest_cold_server(siblings: int, seed: int, speeds: tuple[float, ...], hinted: bool,
-                        probes: bool = False) -> tuple[float, int]:
+def fullest_cold_server(
+    siblings: int, seed: int, speeds: tuple[float, ...], hinted: bool, probes: bool = False
+) -> tuple[float, int]:
     """Some servers of a fleet start anew under a burst, and each balancer is told at once.
 
     Speeds are in turn those of the servers; half of those that start have the first. A tenth of the balancers
@@ -77,10 +79,18 @@
     machines = [Machine(RATE * speeds[i % len(speeds)]) for i in range(SERVERS)]
     mean = sum(speeds[i % len(speeds)] for i in range(SERVERS)) / SERVERS
     settings = Settings(
-        classes=(WORK,), siblings=siblings, report_fields=("inflight",), tick_us=MS, second_copies=False,
-        can_probe=probes, capacity_hints=hinted,
-        start_fraction=START, warm_up_us=WARM_UP_US, fall_multiple=MULTIPLE,
-        fall_window_us=WINDOW_US)
+        classes=(WORK,),
+        siblings=siblings,
+        report_fields=("inflight",),
+        tick_us=MS,
+        second_copies=False,
+        can_probe=probes,
+        capacity_hints=hinted,
+        start_fraction=START,
+        warm_up_us=WARM_UP_US,
+        fall_multiple=MULTIPLE,
+        fall_window_us=WINDOW_US,
+    )
     entries = [Backend(i, capacity_hint=m.rate / RATE if hinted else 1.0) for i, m in enumerate(machines)]
     fleet = [Balancer(settings, rng.getrandbits(32)) for _ in range(siblings)]
     shares = [10.0 if i % 10 == 0 else 1.0 for i in range(siblings)]
@@ -101,15 +111,20 @@
                 assert isinstance(a.backend, int)
                 done = machines[a.backend].takes(now, 0.5 + rng.random())
                 timed_out = done > now + a.timeout_us
-                end = AttemptEnded(a.request, a.attempt, a.backend,
-                                   Outcome.TIMEOUT if timed_out else Outcome.OK,
-                                   min(done - now, a.timeout_us), not timed_out)
+                end = AttemptEnded(
+                    a.request,
+                    a.attempt,
+                    a.backend,
+                    Outcome.TIMEOUT if timed_out else Outcome.OK,
+                    min(done - now, a.timeout_us),
+                    not timed_out,
+                )
                 heappush(due, (min(done, now + a.timeout_us), count, who, end))
 
     for who in range(siblings):
         act(who, SECOND, BackendsChanged(ListKind.CACHED, entries))
     now, restart, end = SECOND, 5 * SECOND, 11 * SECOND
-    cold = [*range(COLD // 2 * len(speeds))][::len(speeds)] + rng.sample(range(SERVERS), COLD // 2)
+    cold = [*range(COLD // 2 * len(speeds))][:: len(speeds)] + rng.sample(range(SERVERS), COLD // 2)
     while now < end:
         wanted = RATE * mean * SERVERS * (BURST if now >= restart - SECOND else 0.6)
         now += max(1, int(rng.expovariate(wanted) * SECOND))
@@ -139,12 +154,20 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("siblings, speeds, hinted, probes", [
-    (3, UNEVEN, True, False), (30, UNEVEN, True, False), (230, UNEVEN, True, False),
-    (230, (1.0,), False, False), (30, WIDE, True, False), (230, WIDE, True, True),
-])
+@pytest.mark.parametrize(
+    "siblings, speeds, hinted, probes",
+    [
+        (3, UNEVEN, True, False),
+        (30, UNEVEN, True, False),
+        (230, UNEVEN, True, False),
+        (230, (1.0,), False, False),
+        (30, WIDE, True, False),
+        (230, WIDE, True, True),
+    ],
+)
 def test_all_balancers_together_let_a_cold_server_stand_however_small_it_is(
-        siblings: int, speeds: tuple[float, ...], hinted: bool, probes: bool, seed: int) -> None:
+    siblings: int, speeds: tuple[float, ...], hinted: bool, probes: bool, seed: int
+) -> None:
     # Of thirty and more each offered a small machine what one of mean size bears: up to twice its own part.
     fullest, got = fullest_cold_server(siblings, seed, speeds, hinted, probes)
     assert fullest <= 1.0 and got >= 40, (fullest, got)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,5 @@
 """Attempts and lists that cross, in an order that the test forces; each ends exactly once."""
+
 from __future__ import annotations
 
 import asyncio
@@ -64,12 +65,14 @@
             got.peer.writer.write(DONE)
             readable(here)
             port = w.backends[first].port
-            w.agent._listed({
-                "drains": listing(member(name, port, "DRAINING")),
-                "goes": listing(member(name, port, "DELETED")),
-                "is not listed": listing(member(f"s{1 - first}", other.port), complete=True),
-                "moves": listing(member(name, other.port, up=1_700_000_000_000)),
-            }[how])
+            w.agent._listed(
+                {
+                    "drains": listing(member(name, port, "DRAINING")),
+                    "goes": listing(member(name, port, "DELETED")),
+                    "is not listed": listing(member(f"s{1 - first}", other.port), complete=True),
+                    "moves": listing(member(name, other.port, up=1_700_000_000_000)),
+                }[how]
+            )
             assert (await client.read()).status == 200
             await got.peer.ended()  # and the connection is not kept
             for i in range(4):  # nothing new goes there
@@ -84,7 +87,8 @@
 @pytest.mark.parametrize("answer", [b"H", b"HTTP/1.1 200 OK\r\nContent-", DONE[:-1]])
 @pytest.mark.parametrize("end", ["reset", "close"])
 def test_a_break_from_the_first_byte_of_an_answer_on_fails_what_may_not_be_repeated(
-        tmp_path: Path, answer: bytes, end: str) -> None:
+    tmp_path: Path, answer: bytes, end: str
+) -> None:
     async def run() -> None:
         async with world(tmp_path, backends=2) as w:
             client = await w.ask(post(UNSAFE))
@@ -137,7 +141,8 @@
 
 
 def test_a_server_that_moves_while_a_connection_comes_up_gets_nothing_at_its_old_address(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def run() -> None:
         async with world(tmp_path) as w:
             old, new, pool = w.backends[0], await Peer().start(), w.agent._backends.pool
@@ -192,7 +197,8 @@
 
 
 def test_a_repeat_whose_connection_comes_up_behind_its_window_is_not_sent(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def run() -> None:
         clock = Shifted(monkeypatch)
         async with world(tmp_path, backends=2) as w:
@@ -209,7 +215,8 @@
 
 
 def test_a_first_attempt_whose_connection_comes_up_behind_the_window_of_its_copy_is_not_sent(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def run() -> None:
         clock = Shifted(monkeypatch)
         async with world(tmp_path, backends=2, secondCopies=True) as w:
@@ -234,15 +241,19 @@
 
 @pytest.mark.parametrize("where", ["locality", "cell"])
 def test_nothing_goes_to_a_server_that_changes_its_group_while_a_connection_comes_up(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, where: str) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, where: str
+) -> None:
     async def run() -> None:
         async with world(tmp_path) as w:
             late = Late(w, monkeypatch, nth=1)
             client = await w.ask(post())
             await late.up.wait()
             other = member("s0", w.backends[0].port) | {where: {"locality": "b", "cell": 2}[where]}
-            w.agent._listed(ListingParser(Clock(), ("a", "b"), ("m",)).parse(
-                {"revision": 42, "complete": False, "members": [other]}))
+            w.agent._listed(
+                ListingParser(Clock(), ("a", "b"), ("m",)).parse(
+                    {"revision": 42, "complete": False, "members": [other]}
+                )
+            )
             late.let.set()
             again = await w.request()  # chosen anew
             assert w.backends[0].connections == 2
@@ -264,7 +275,8 @@
 
 @pytest.mark.parametrize("late", [DONE, b"HTTP/1.1 200 OK\r\n", b"\r\n", LOAD])
 def test_what_comes_late_on_an_idle_connection_in_the_turn_it_is_taken_reaches_no_request(
-        tmp_path: Path, late: bytes) -> None:
+    tmp_path: Path, late: bytes
+) -> None:
     async def run() -> None:
         async with world(tmp_path) as w:
             got = await idle(w)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,5 @@
 """The list of backends: the watch goes on, breaks once, and is never believed when it makes no sense."""
+
 from __future__ import annotations
 
 import asyncio
@@ -60,11 +61,20 @@
 GOOD = member("s", 9)
 
 
-@pytest.mark.parametrize("answer", [
-    b"", b"{", b"[]", b"7", b"{}", b'{"revision":1,"complete":true,"members":7}',
-    b'{"revision":null,"complete":true,"members":[]}', b'{"revision":1,"complete":true,"members":{"a":1}}',
-    b"\xff\xfe",
-])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"",
+        b"{",
+        b"[]",
+        b"7",
+        b"{}",
+        b'{"revision":1,"complete":true,"members":7}',
+        b'{"revision":null,"complete":true,"members":[]}',
+        b'{"revision":1,"complete":true,"members":{"a":1}}',
+        b"\xff\xfe",
+    ],
+)
 def test_an_answer_that_makes_no_sense_is_a_failed_call(answer: bytes) -> None:
     async def run() -> None:
         peer, told = await Peer().start(), asyncio.Queue[Listing | None]()
@@ -122,7 +132,8 @@
 
 
 def test_where_agents_share_discovery_the_call_after_a_failed_one_does_not_wait(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # Begun within an outage it may be silent for good: it was found so after up to 20.5 s, told or not.
     monkeypatch.setattr(discovery_module, "ANSWER_S", 0.05)
 
@@ -144,7 +155,8 @@
 
 @pytest.mark.parametrize("revision", [0, None])
 def test_a_connection_to_discovery_that_does_not_come_up_is_given_up_whatever_the_settings_allow(
-        monkeypatch: pytest.MonkeyPatch, revision: int | None) -> None:
+    monkeypatch: pytest.MonkeyPatch, revision: int | None
+) -> None:
     monkeypatch.setattr(discovery_module, "ANSWER_S", 0.05)
 
     async def run() -> None:
@@ -226,8 +238,12 @@
         discovery = asks(peer)
         discovery.watch(told.put_nowait)
         bad: list[Any] = [
-            {}, 7, GOOD | {"id": "b", "phase": "WELL"}, GOOD | {"id": "c", "host_port": "nowhere"},
-            GOOD | {"id": "e", "up_since_ms": [1]}, GOOD | {"id": "f", "size": float("inf")},
+            {},
+            7,
+            GOOD | {"id": "b", "phase": "WELL"},
+            GOOD | {"id": "c", "host_port": "nowhere"},
+            GOOD | {"id": "e", "up_since_ms": [1]},
+            GOOD | {"id": "f", "size": float("inf")},
         ]
         drains = member("d", 9, "DRAINING")
         await (await peer.requests.get()).answer(200, body(42, [*bad[:3], GOOD, *bad[3:], drains]))
--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -1,4 +1,5 @@
 """The stand-in for discovery on loopback, watched by the agent's own client of it."""
+
 from __future__ import annotations
 
 import asyncio
@@ -86,9 +87,11 @@
             for agent in agents:
                 assert (await agent.knows(1)).complete
             await until(standin, waiting=20)
-            changes = [await standin.change("DRAINING", share=0.25, seed=3),
-                       await standin.change("DELETED", where="rack", seed=3),
-                       await standin.change("SERVING", replaced=True)]
+            changes = [
+                await standin.change("DRAINING", share=0.25, seed=3),
+                await standin.change("DELETED", where="rack", seed=3),
+                await standin.change("SERVING", replaced=True),
+            ]
             assert changes[0]["changed"] == 10 and changes[1]["revision"] == 3
             for agent in agents:
                 assert not (await agent.knows(4)).complete
@@ -138,8 +141,9 @@
     asyncio.run(run())
 
 
-def test_a_watch_opened_in_silence_is_reset_at_its_end(monkeypatch: pytest.MonkeyPatch,
-                                                       caplog: pytest.LogCaptureFixture) -> None:
+def test_a_watch_opened_in_silence_is_reset_at_its_end(
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
     monkeypatch.setattr(discovery_module, "LATE_S", 0.05)
     monkeypatch.setattr(discovery_module, "ANSWER_S", 50.0)
 
@@ -171,13 +175,18 @@
     async def run() -> None:
         async with standing() as (standin, port):
             asked: list[tuple[str, int]] = [
-                ("GET /catalog/members", 200), ("GET /catalog/members?index=1&wait=1", 200),
+                ("GET /catalog/members", 200),
+                ("GET /catalog/members?index=1&wait=1", 200),
                 ("GET /catalog/members?wait=0&index=1", 200),
                 ("GET /catalog/members?index=9&wait=60000", 200),
-                ("GET /catalog/members?index=1&wait=60001", 400), ("GET /catalog/members?index=1", 400),
-                ("GET /catalog/members?index=-1&wait=5", 400), ("GET /catalog/members?", 400),
-                ("GET /catalog/members?index=1&index=1", 400), ("GET /catalog", 404),
-                ("POST /catalog/members", 400), ("no request at all", 400),
+                ("GET /catalog/members?index=1&wait=60001", 400),
+                ("GET /catalog/members?index=1", 400),
+                ("GET /catalog/members?index=-1&wait=5", 400),
+                ("GET /catalog/members?", 400),
+                ("GET /catalog/members?index=1&index=1", 400),
+                ("GET /catalog", 404),
+                ("POST /catalog/members", 400),
+                ("no request at all", 400),
             ]
             bytes_in = bytes_out = 0
             bodies = []
@@ -195,8 +204,18 @@
                 writer.close()
             assert json.loads(bodies[0]) == json.loads(bodies[3]) and json.loads(bodies[1])["members"] == []
             counts = await standin.count()
-            expected = {"calls": 12, "whole": 2, "deltas": 0, "empty": 2, "failed": 8, "left": 0,
-                        "connections": 12, "waiting_most": 1, "bytes_in": bytes_in, "bytes_out": bytes_out}
+            expected = {
+                "calls": 12,
+                "whole": 2,
+                "deltas": 0,
+                "empty": 2,
+                "failed": 8,
+                "left": 0,
+                "connections": 12,
+                "waiting_most": 1,
+                "bytes_in": bytes_in,
+                "bytes_out": bytes_out,
+            }
             assert counts | expected == counts
 
     asyncio.run(run())
@@ -278,13 +297,29 @@
 def test_its_process_ends_with_its_input() -> None:
     async def run() -> None:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "nickelmount.fleet.emulated_discovery", cwd=Path(__file__).parent.parent,
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE)
-        commands = [{"do": "begin_outage", "kind": "silent"},
-                    {"do": "start", "servers": 6, "seed": 1, "regions": 1, "zones_per_region": 1,
-                     "racks_per_zone": 1, "ports": [9001], "history": 5},
-                    {"do": "change", "phase": "GONE"}, {"do": "change", "phase": "DRAINING", "count": 2},
-                    {"do": "counts"}]
+            sys.executable,
+            "-m",
+            "nickelmount.fleet.emulated_discovery",
+            cwd=Path(__file__).parent.parent,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+        )
+        commands = [
+            {"do": "begin_outage", "kind": "silent"},
+            {
+                "do": "start",
+                "servers": 6,
+                "seed": 1,
+                "regions": 1,
+                "zones_per_region": 1,
+                "racks_per_zone": 1,
+                "ports": [9001],
+                "history": 5,
+            },
+            {"do": "change", "phase": "GONE"},
+            {"do": "change", "phase": "DRAINING", "count": 2},
+            {"do": "counts"},
+        ]
         out, _ = await process.communicate(b"".join(json.dumps(c).encode() + b"\n" for c in commands))
         answers = [json.loads(line) for line in out.splitlines()]
         assert process.returncode == 0 and len(answers) == 5
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,5 @@
 """One small test for each failure found by measuring."""
+
 from __future__ import annotations
 
 from typing import Any
@@ -7,8 +8,20 @@
 
 from nickelmount.balancer.balancer import NOTE, RETRY_BURST, RETRY_SHARE, Request, Server
 from nickelmount.balancer.interface import (
-    Backend, ClientGone, Log, Outcome, PeerMessage, Prices, Probe, ProbeEnded, Refuse, RequestArrived,
-    RequestClass, Send, State, Tell,
+    Backend,
+    ClientGone,
+    Log,
+    Outcome,
+    PeerMessage,
+    Prices,
+    Probe,
+    ProbeEnded,
+    Refuse,
+    RequestArrived,
+    RequestClass,
+    Send,
+    State,
+    Tell,
 )
 
 
@@ -238,8 +251,9 @@
     # ibarra big-2: with whole credits, earned at 1/n a request, no quiet balancer ever sent to a cold server.
     sent = 0
     for seed in range(400):
-        d = Drive(servers=9, seed=seed, siblings=400, start_fraction=0.5, warm_up_us=20 * SECOND,
-                  fall_multiple=4.0)
+        d = Drive(
+            servers=9, seed=seed, siblings=400, start_fraction=0.5, warm_up_us=20 * SECOND, fall_multiple=4.0
+        )
         d.list(Backend("new", started_at=d.now))
         sent += only(d.request()[1], Send)[0].backend == "new"
     assert 10 <= sent <= 40  # of 400, with a tenth of the fleet at half its strength
@@ -274,8 +288,14 @@
     for served in (True, False):
         sent[served] = 0
         for seed in range(200):
-            d = Drive(servers=9, seed=seed, siblings=400, start_fraction=0.5, warm_up_us=100 * SECOND,
-                      fall_multiple=4.0)
+            d = Drive(
+                servers=9,
+                seed=seed,
+                siblings=400,
+                start_fraction=0.5,
+                warm_up_us=100 * SECOND,
+                fall_multiple=4.0,
+            )
             for _ in range(30):
                 for s in only(d.request()[1], Send):
                     d.end(s, Outcome.OK if served else Outcome.TIMEOUT, 20 * MS)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,5 @@
 """What a balancer must do when it is one of many: its own requests are few, and the rest are as blind."""
+
 from __future__ import annotations
 
 import asyncio
@@ -96,8 +97,15 @@
     # After a release most of a fleet is cold: its part of what was served was next to nothing.
     got = 0
     for seed in range(4):  # all of them: the budget is kept in the sum
-        d = Drive(UNSAFE, servers=20, report_fields=INFLIGHT, siblings=4, start_fraction=0.2,
-                  warm_up_us=100 * SECOND, seed=seed)
+        d = Drive(
+            UNSAFE,
+            servers=20,
+            report_fields=INFLIGHT,
+            siblings=4,
+            start_fraction=0.2,
+            warm_up_us=100 * SECOND,
+            seed=seed,
+        )
         served(d, 200, held=0.0)
         crowded(d, 200)
         d.list(Backend("new", started_at=d.now))
@@ -155,8 +163,9 @@
 def test_in_a_large_fleet_none_calls_so_late_that_the_list_counts_as_told() -> None:
     # Of two hundred the last waited 19 s for its first call; all that drained meanwhile counted as told.
     for seed in range(20):
-        d = Drive(UNSAFE, servers=2, seed=seed, siblings=200, discovery=Discovery.ASK,
-                  ask_within_us=6 * SECOND)
+        d = Drive(
+            UNSAFE, servers=2, seed=seed, siblings=200, discovery=Discovery.ASK, ask_within_us=6 * SECOND
+        )
         assert only(d.log + d.wait(3 * SECOND), Watch)
         for _ in range(6):
             d.list(kind=ListKind.FAILED)
@@ -183,8 +192,16 @@
     """
     fleet = []
     for seed in range(siblings):
-        d = Drive(UNSAFE, servers=2, seed=seed, siblings=siblings, me=seed, discovery=Discovery.ASK,
-                  ask_within_us=TOLD_US, list_call_us=CALL_US)
+        d = Drive(
+            UNSAFE,
+            servers=2,
+            seed=seed,
+            siblings=siblings,
+            me=seed,
+            discovery=Discovery.ASK,
+            ask_within_us=TOLD_US,
+            list_call_us=CALL_US,
+        )
         if not only(d.log, Watch):
             next_call(d)
         d.now, calls = 10 * SECOND, list[int]()
@@ -233,8 +250,15 @@
     # What waits there counts as told: after some failures the next call came up to 3 s later.
     for grace_us in (500 * MS, 400 * MS, 80 * MS):
         for seed in range(20):
-            d = Drive(UNSAFE, servers=2, seed=seed, siblings=200, discovery=Discovery.ASK, lists_at_hand=True,
-                      drain_grace_us=grace_us)
+            d = Drive(
+                UNSAFE,
+                servers=2,
+                seed=seed,
+                siblings=200,
+                discovery=Discovery.ASK,
+                lists_at_hand=True,
+                drain_grace_us=grace_us,
+            )
             for _ in range(8):
                 d.list(kind=ListKind.FAILED)
                 assert only(d.wait(grace_us // 2), Watch)
@@ -376,8 +400,15 @@
     # Each server is drawn by a tenth of the balancers: counted as drawn by all it got less than its part.
     cold, got = {f"s{i}" for i in range(85)}, 0
     for seed in range(6):
-        d = Drive(UNSAFE, servers=170, report_fields=INFLIGHT, siblings=200, start_fraction=0.2,
-                  warm_up_us=100 * SECOND, seed=seed)
+        d = Drive(
+            UNSAFE,
+            servers=170,
+            report_fields=INFLIGHT,
+            siblings=200,
+            start_fraction=0.2,
+            warm_up_us=100 * SECOND,
+            seed=seed,
+        )
         crowded(d, 200)
         d.wait(10 * SECOND)
         d.list(*[Backend(f"s{i}", started_at=d.now) for i in range(85)])
@@ -418,8 +449,9 @@
     # Its traffic stays when servers go: in one second, six in ten of them, and the rest were choked by it.
     held = {}
     for left in (120, 48):
-        d = Drive(TILE, servers=120, report_fields=INFLIGHT, siblings=200, others=(ORDER,),
-                  warm_up_us=20 * SECOND)
+        d = Drive(
+            TILE, servers=120, report_fields=INFLIGHT, siblings=200, others=(ORDER,), warm_up_us=20 * SECOND
+        )
         for _ in range(200):
             for s in only(d.request()[1], Send):
                 d.end(s, Outcome.OK, 20 * MS, report=(4.5,))
@@ -433,8 +465,17 @@
     # Half of what a server could do at the least left seventy cold ones idle while the warm ones choked.
     multiple, window_us, at = 3.0, 2 * SECOND, list[int]()
     for seed in range(4):  # all of them: the budget is kept in the sum
-        d = Drive(UNSAFE, servers=20, report_fields=INFLIGHT, siblings=4, start_fraction=0.2,
-                  warm_up_us=100 * SECOND, fall_multiple=multiple, fall_window_us=window_us, seed=seed)
+        d = Drive(
+            UNSAFE,
+            servers=20,
+            report_fields=INFLIGHT,
+            siblings=4,
+            start_fraction=0.2,
+            warm_up_us=100 * SECOND,
+            fall_multiple=multiple,
+            fall_window_us=window_us,
+            seed=seed,
+        )
         served(d, 200, held=0.0)
         crowded(d, 200)
         d.list(Backend("new", started_at=d.now))
@@ -456,8 +497,14 @@
 
     Those that are worth most come three times as often as each of the others, and have enough for all places.
     """
-    d = Drive(classes[0], servers=60, report_fields=INFLIGHT, siblings=40, others=classes[1:],
-              warm_up_us=1000 * SECOND)
+    d = Drive(
+        classes[0],
+        servers=60,
+        report_fields=INFLIGHT,
+        siblings=40,
+        others=classes[1:],
+        warm_up_us=1000 * SECOND,
+    )
     rng, most = Random(1), max(c.worth for c in classes)
     out: list[tuple[int, Send]] = []
     sent = dict.fromkeys((c.name for c in classes), 0)
@@ -485,8 +532,11 @@
 
 def test_so_it_is_whatever_the_classes_are_called_and_however_many() -> None:
     classes = (
-        RequestClass("z", 900 * MS, 2 * SECOND, worth=1.0), RequestClass("a", 300 * MS, SECOND, worth=5.0),
-        RequestClass("m", 500 * MS, SECOND, Effect.UNSAFE), RequestClass("k", 500 * MS, SECOND, worth=5.0))
+        RequestClass("z", 900 * MS, 2 * SECOND, worth=1.0),
+        RequestClass("a", 300 * MS, SECOND, worth=5.0),
+        RequestClass("m", 500 * MS, SECOND, Effect.UNSAFE),
+        RequestClass("k", 500 * MS, SECOND, worth=5.0),
+    )
     for first in range(len(classes)):
         sent = overloaded(classes[first:] + classes[:first], 60 * MS)
         assert min(sent.values()) >= 10, sent
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,5 @@
 """A client that leaves while its request waits: nothing is sent on for it, and nothing of it is counted."""
+
 from __future__ import annotations
 
 import asyncio
@@ -110,7 +111,8 @@
 @LEAVING
 @pytest.mark.parametrize("draining", [False, True])
 def test_one_held_by_the_module_is_not_sent_on(
-        tmp_path: Path, leave: Callable[[socket.socket], None], draining: bool) -> None:
+    tmp_path: Path, leave: Callable[[socket.socket], None], draining: bool
+) -> None:
     async def run() -> None:
         async with waiting(tmp_path, draining) as (w, peer):
             caller = await Caller(w).accepted()
@@ -155,7 +157,8 @@
 
 @pytest.mark.parametrize("many", [1, 40])
 def test_one_that_left_before_it_was_accepted(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, many: int) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, many: int
+) -> None:
     async def run() -> None:
         async with world(tmp_path) as w:
             await kept_open(w)
@@ -188,8 +191,8 @@
 @LEAVING
 @pytest.mark.parametrize("cls, ends", [(UNSAFE, turned_away), (KEYED, broken)])
 def test_one_that_waits_for_another_try(
-        tmp_path: Path, leave: Callable[[socket.socket], None], cls: str,
-        ends: Callable[[Message], None]) -> None:
+    tmp_path: Path, leave: Callable[[socket.socket], None], cls: str, ends: Callable[[Message], None]
+) -> None:
     async def run() -> None:
         async with world(tmp_path, backends=2) as w:
             await kept_open(w)
@@ -218,7 +221,8 @@
 
 @STAYING
 def test_one_whose_hold_ends_before_its_close_is_read(
-        tmp_path: Path, leave: Callable[[socket.socket], None] | None) -> None:
+    tmp_path: Path, leave: Callable[[socket.socket], None] | None
+) -> None:
     async def run() -> None:
         async with waiting(tmp_path) as (w, peer):
             await kept_open(w)
@@ -239,7 +243,8 @@
 
 @STAYING
 def test_one_whose_second_copy_is_due_before_its_close_is_read(
-        tmp_path: Path, leave: Callable[[socket.socket], None] | None) -> None:
+    tmp_path: Path, leave: Callable[[socket.socket], None] | None
+) -> None:
     async def run() -> None:
         async with world(tmp_path, backends=2, secondCopies=True) as w:
             await kept_open(w)
@@ -262,8 +267,8 @@
 @LEAVING
 @pytest.mark.parametrize("read", [False, True])
 def test_one_that_waits_for_a_connection_that_comes_up_late(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Callable[[socket.socket], None],
-        read: bool) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Callable[[socket.socket], None], read: bool
+) -> None:
     async def run() -> None:
         async with world(tmp_path) as w:
             pool = w.agent._backends.pool
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,5 @@
 """The agent as a process within its limits: descriptors, and processor time till it is ready."""
+
 from __future__ import annotations
 
 import asyncio
@@ -38,7 +39,8 @@
 
 @pytest.mark.parametrize("spoke", [False, True])
 def test_idle_clients_in_an_outage_of_discovery_leave_descriptors_for_what_comes_after_it(
-        tmp_path: Path, spoke: bool) -> None:
+    tmp_path: Path, spoke: bool
+) -> None:
     async def run() -> None:
         discovery, gone, new = [await Peer().start() for _ in range(3)]
         doc = config_doc(discovery.port, [member("a", gone.port)])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,5 @@
 """A change of the list costs what has changed, and ends where a whole pass would have ended."""
+
 from __future__ import annotations
 
 import asyncio
@@ -29,8 +30,15 @@
 
 
 def drive(seed: int, **settings: Any) -> Drive:
-    return Drive(servers=0, seed=seed, siblings=50, start_fraction=0.2, warm_up_us=24 * SECOND,
-                 report_fields=("inflight",), **settings)
+    return Drive(
+        servers=0,
+        seed=seed,
+        siblings=50,
+        start_fraction=0.2,
+        warm_up_us=24 * SECOND,
+        report_fields=("inflight",),
+        **settings,
+    )
 
 
 def by_a_pass(b: Balancer, now: int) -> tuple[list[object], float]:
@@ -42,7 +50,8 @@
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("settings", [{}, {"can_probe": True}])
 def test_after_any_changes_it_stands_as_a_pass_over_all_would_have_it(
-        seed: int, settings: dict[str, Any]) -> None:
+    seed: int, settings: dict[str, Any]
+) -> None:
     d, random = drive(seed, **settings), Random(seed)
     names = [f"s{i}" for i in range(30)]
     d.now += 60 * SECOND
@@ -68,7 +77,8 @@
 
 @pytest.mark.parametrize("event", ["change", "second"])
 def test_neither_a_change_nor_a_second_asks_all_of_a_large_fleet(
-        monkeypatch: pytest.MonkeyPatch, event: str) -> None:
+    monkeypatch: pytest.MonkeyPatch, event: str
+) -> None:
     d = drive(1)
     # Half of them are back just now.
     started = [Backend(f"s{i}", started_at=d.now if i % 2 else 0) for i in range(LARGE)]
@@ -126,7 +136,11 @@
     changed = entries(member("s3", 9003, "DRAINING"), member("s4", 9004, up=77_000), member("s5", 9999))
     told = there.told(read.parse(whole(3, [m for m in changed if m["id"] != "s9"])))
     assert [(b.id, b.state) for b in told] == [
-        ("s3", State.DRAINING), ("s4", State.READY), ("s5", State.READY), ("s9", State.GONE)]
+        ("s3", State.DRAINING),
+        ("s4", State.READY),
+        ("s5", State.READY),
+        ("s9", State.GONE),
+    ]
     assert there.ready("s9") is None and there.ready("s3") is None
     (back,) = there.told(read.parse(whole(4, changed)))
     assert back.id == "s9" and there.ready("s9") is not None
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -3,6 +3,7 @@
 A state machine plays a legal but hostile world to one balancer; Checker judges the actions from the interface
 alone and shares no code with the module. One balancer broken on purpose for each rule shows that it sees it.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field, replace
@@ -12,14 +13,42 @@
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import (
-    RuleBasedStateMachine, initialize, precondition, rule, run_state_machine_as_test,
+    RuleBasedStateMachine,
+    initialize,
+    precondition,
+    rule,
+    run_state_machine_as_test,
 )
 
 from nickelmount.balancer.balancer import Balancer
 from nickelmount.balancer.interface import (
-    Action, AttemptEnded, Backend, BackendsChanged, Cancel, ClientGone, Discovery, Effect, Event, Fail, Fetch,
-    Group, ListKind, Log, Outcome, Probe, ProbeEnded, Refuse, RequestArrived, RequestClass, Send, Settings,
-    SetTimer, State, StreamStarted, TimerFired, Watch,
+    Action,
+    AttemptEnded,
+    Backend,
+    BackendsChanged,
+    Cancel,
+    ClientGone,
+    Discovery,
+    Effect,
+    Event,
+    Fail,
+    Fetch,
+    Group,
+    ListKind,
+    Log,
+    Outcome,
+    Probe,
+    ProbeEnded,
+    Refuse,
+    RequestArrived,
+    RequestClass,
+    Send,
+    Settings,
+    SetTimer,
+    State,
+    StreamStarted,
+    TimerFired,
+    Watch,
 )
 
 MS, SECOND = 1_000, 1_000_000
@@ -69,8 +98,11 @@
         if r.cls.effect is Effect.KEYED and maybe:
             assert now <= maybe[0].sent_at + r.cls.window_us, "rule 2: keyed sent again after its window"
             for x in maybe:
-                same = {Group.ALL: True, Group.ZONE: x.backend.zone == b.zone,
-                        Group.CELL: x.backend.cell == b.cell}
+                same = {
+                    Group.ALL: True,
+                    Group.ZONE: x.backend.zone == b.zone,
+                    Group.CELL: x.backend.cell == b.cell,
+                }
                 assert same[r.cls.group], "rule 2: keyed sent outside its group"
         if not told.second_copies:
             assert all(x.ended for x in r.attempts), "rule 2: two attempts out at once"
@@ -114,21 +146,35 @@
     def start(self, data: st.DataObject) -> None:
         draw = data.draw
         cls = st.builds(
-            RequestClass, name=st.uuids().map(str), aim_us=st.sampled_from([1, 20 * MS, 300 * MS]),
-            deadline_us=st.just(SECOND), effect=st.sampled_from(Effect), group=st.sampled_from(Group),
-            window_us=st.sampled_from([0, 1, 50 * MS, SECOND]), worth=st.sampled_from([0.0, 1.0, 8.0]),
-            late_worth=st.sampled_from([0.0, 0.5]), aim_stretch=st.sampled_from([0.0, 2.0]))
+            RequestClass,
+            name=st.uuids().map(str),
+            aim_us=st.sampled_from([1, 20 * MS, 300 * MS]),
+            deadline_us=st.just(SECOND),
+            effect=st.sampled_from(Effect),
+            group=st.sampled_from(Group),
+            window_us=st.sampled_from([0, 1, 50 * MS, SECOND]),
+            worth=st.sampled_from([0.0, 1.0, 8.0]),
+            late_worth=st.sampled_from([0.0, 0.5]),
+            aim_stretch=st.sampled_from([0.0, 2.0]),
+        )
         tick = draw(st.sampled_from([0, MS, 5 * MS]))
         self.told = Settings(
-            classes=tuple(draw(st.lists(cls, min_size=1, max_size=3))), tick_us=tick,
-            answer_slack_us=draw(st.sampled_from([0, 4 * tick])), discovery=draw(st.sampled_from(Discovery)),
-            siblings=draw(st.sampled_from([1, 3, 500])), second_copies=draw(st.booleans()),
-            can_cancel=draw(st.booleans()), can_probe=draw(st.booleans()),
+            classes=tuple(draw(st.lists(cls, min_size=1, max_size=3))),
+            tick_us=tick,
+            answer_slack_us=draw(st.sampled_from([0, 4 * tick])),
+            discovery=draw(st.sampled_from(Discovery)),
+            siblings=draw(st.sampled_from([1, 3, 500])),
+            second_copies=draw(st.booleans()),
+            can_cancel=draw(st.booleans()),
+            can_probe=draw(st.booleans()),
             max_attempts=draw(st.integers(1, 4)),
-            retry_after=draw(st.booleans()), capacity_hints=False, report_fields=("inflight",),
+            retry_after=draw(st.booleans()),
+            capacity_hints=False,
+            report_fields=("inflight",),
             start_fraction=draw(st.sampled_from([0.05, 0.5, 1.0])),
             warm_up_us=draw(st.sampled_from([0, SECOND, 10 * SECOND])),
-            fall_multiple=draw(st.sampled_from([0.5, 3.0])))
+            fall_multiple=draw(st.sampled_from([0.5, 3.0])),
+        )
         self.tick, self.now, self.count = tick or 1, 100 * SECOND, 0
         self.timers: list[tuple[int, int]] = []
         self.probes: list[Any] = []  # probes not answered yet
@@ -172,8 +218,12 @@
         self.event(BackendsChanged(kind, backends))
 
     def out(self) -> list[tuple[int, int, Attempt]]:
-        return [(q, i, x) for q, r in self.checker.requests.items()
-                for i, x in enumerate(r.attempts) if x.ended is None]
+        return [
+            (q, i, x)
+            for q, r in self.checker.requests.items()
+            for i, x in enumerate(r.attempts)
+            if x.ended is None
+        ]
 
     def end(self, request: int, attempt: int, outcome: Outcome) -> None:
         r = self.checker.requests[request]
@@ -227,8 +277,11 @@
         self.lists(ListKind.FULL if whole else ListKind.DELTA, [*kept, b] if whole else [b])
 
     @precondition(lambda self: self.probes)
-    @rule(outcome=st.sampled_from([Outcome.OK, Outcome.OK, Outcome.TIMEOUT, Outcome.CONNECT_FAILED]),
-          many=st.integers(1, 6), held=st.sampled_from([0.0, 1.0, 40.0]))
+    @rule(
+        outcome=st.sampled_from([Outcome.OK, Outcome.OK, Outcome.TIMEOUT, Outcome.CONNECT_FAILED]),
+        many=st.integers(1, 6),
+        held=st.sampled_from([0.0, 1.0, 40.0]),
+    )
     def echo(self, outcome: Outcome, many: int, held: float) -> None:
         for _ in range(min(many, len(self.probes))):
             report = (held,) if outcome is Outcome.OK else ()
@@ -245,7 +298,8 @@
         until = self.now + max(self.tick, us // self.tick * self.tick)
         while True:
             due = [(t, token, -1) for t, token in self.timers] + [
-                (x.ends_by, request, i) for request, i, x in self.out()]
+                (x.ends_by, request, i) for request, i, x in self.out()
+            ]
             if not due or min(due)[0] > until:
                 break
             at, what, attempt = min(due)
@@ -261,8 +315,15 @@
         self.checker.passed(self.now)
 
 
-LIMITS = settings(max_examples=200, stateful_step_count=40, derandomize=True, database=None, deadline=None,
-                  suppress_health_check=list(HealthCheck), phases=(Phase.generate,))
+LIMITS = settings(
+    max_examples=200,
+    stateful_step_count=40,
+    derandomize=True,
+    database=None,
+    deadline=None,
+    suppress_health_check=list(HealthCheck),
+    phases=(Phase.generate,),
+)
 
 
 def test_the_rules_hold_in_any_order() -> None:
@@ -303,13 +364,17 @@
     def handle(self, now: int, event: Event) -> list[Action]:
         if isinstance(event, BackendsChanged):
             fresh = [b for b in event.backends if b.started_at]
-            event = replace(event, backends=[replace(b, started_at=0) for b in fresh or event.backends],
-                            kind=ListKind.FULL if fresh else event.kind)
+            event = replace(
+                event,
+                backends=[replace(b, started_at=0) for b in fresh or event.backends],
+                kind=ListKind.FULL if fresh else event.kind,
+            )
         return super().handle(now, event)
 
 
-@pytest.mark.parametrize("faulty, said", [(Silent, "rule 1"), (Trusting, "rule 2"), (Deaf, "rule 3"),
-                                          (Eager, "rule 4")])
+@pytest.mark.parametrize(
+    "faulty, said", [(Silent, "rule 1"), (Trusting, "rule 2"), (Deaf, "rule 3"), (Eager, "rule 4")]
+)
 def test_the_checker_sees_each_rule_broken(faulty: type[Balancer], said: str) -> None:
     machine = type("Faulty", (Orders,), {"make": staticmethod(faulty)})
     with pytest.raises(AssertionError, match=said):
--- a/tests/test_quantile.py
+++ b/tests/test_quantile.py
@@ -1,4 +1,5 @@
 """The choice itself against hand-worked cutoffs and the paper's probability vector (3.1)."""
+
 from __future__ import annotations
 
 from collections import Counter
@@ -17,8 +18,16 @@
 
 @pytest.mark.parametrize(
     "n, ranks",
-    [(1, (1,)), (2, (1,)), (10, (5,)), (16, (8,)), (17, (9,)), (20, (10,)), (64, (28, 32)),
-     (1000, (335, 500))],
+    [
+        (1, (1,)),
+        (2, (1,)),
+        (10, (5,)),
+        (16, (8,)),
+        (17, (9,)),
+        (20, (10,)),
+        (64, (28, 32)),
+        (1000, (335, 500)),
+    ],
 )
 def test_cutoffs_for_two_queries(n: int, ranks: tuple[int, ...]) -> None:
     assert cutoff_ranks(n, 2) == ranks
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,5 @@
 """The README's embedding example runs as printed."""
+
 from __future__ import annotations
 
 import re
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,5 @@
 """SIGHUP: the agent goes on, and moves to the discovery that its configuration now names."""
+
 from __future__ import annotations
 
 import asyncio
@@ -33,7 +34,8 @@
         # The environment names the first discovery for as long as the process lives.
         env = {**os.environ, "RELAY_CONFIG": str(self._path), "RELAY_DISCOVERY": doc["discovery"]}
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "nickelmount", env=env, stderr=asyncio.subprocess.PIPE)
+            sys.executable, "-m", "nickelmount", env=env, stderr=asyncio.subprocess.PIPE
+        )
         self.port = int((await self.line("listens on")).rpartition(":")[2])
 
     async def line(self, part: str) -> str:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,5 @@
 """The four rules, without the bench."""
+
 from __future__ import annotations
 
 import pytest
@@ -157,8 +158,17 @@
 def test_all_balancers_together_keep_to_the_cold_budget(parts: tuple[int, ...]) -> None:
     # Ten servers, 1000 requests a second in all: a warm one takes 100 a second, taken to be nearly full.
     start, window = 0.15, 2
-    fleet = [Drive(servers=9, seed=i, siblings=4, start_fraction=start, warm_up_us=20 * SECOND,
-                   fall_window_us=window * SECOND) for i in range(len(parts))]
+    fleet = [
+        Drive(
+            servers=9,
+            seed=i,
+            siblings=4,
+            start_fraction=start,
+            warm_up_us=20 * SECOND,
+            fall_window_us=window * SECOND,
+        )
+        for i in range(len(parts))
+    ]
     for d in fleet:
         d.list(Backend("new", started_at=d.now))
     sends = []
@@ -177,5 +187,3 @@
         inside = sum(at <= t < at + window * SECOND for t in sends)
         assert inside <= 3 * capacity * window
     assert len(sends) > 20  # it does get work
-
-
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,5 @@
 """The application's side: bad input is answered and reaches nobody; a stop loses nothing."""
+
 from __future__ import annotations
 
 import asyncio
@@ -13,7 +14,16 @@
 import pytest
 from nickelmount.agent.downstream import Client, ClientTimes
 from tests.loopback import (
-    KEYED, UNSAFE, Conversation, Message, Peer, World, config_doc, member, post, world,
+    KEYED,
+    UNSAFE,
+    Conversation,
+    Message,
+    Peer,
+    World,
+    config_doc,
+    member,
+    post,
+    world,
 )
 
 CHUNKED = post(drop=("Content-Length",), body=b"", Transfer_Encoding="chunked")
@@ -45,15 +55,29 @@
 HIDDEN = b"0\r\n\r\n" + post(body=b"hidden")
 BAD["a request hidden in the body"] = (post(body=HIDDEN, Transfer_Encoding="chunked"), 400)
 BAD["chunks that hide one, length last"] = (
-    post(drop=("Content-Length",), body=HIDDEN, Transfer_Encoding="chunked", Content_length="5"), 400)
-BAD |= {f"{name} twice": (post().replace(b"Host:", b"%s\r\nHost:" % line), 400) for name, line in {
-    "id": b"Request-Id: 77", "class": b"Request-Class: vale-almacen", "time-out": b"Request-Timeout-Ms: 9",
-    "key": b"Idempotency-Key: 1", "tenant": b"Tenant: norvalle", "host": b"Host: b",
-    "length": b"Content-Length: 3", "other length": b"Content-Length: 9"}.items()}
-BAD |= {f"id {value!r}": (post(Request_Id=value), 400) for value in (
-    "", "a b", "a,b", "x" * 129, "\xe9", "a\tb")}
-BAD |= {f"length {value!r}": (post(drop=("Content-Length",), Content_length=value), 400) for value in (
-    "", "+3", "3, 3", "0x3", "three", "9" * 30)}
+    post(drop=("Content-Length",), body=HIDDEN, Transfer_Encoding="chunked", Content_length="5"),
+    400,
+)
+BAD |= {
+    f"{name} twice": (post().replace(b"Host:", b"%s\r\nHost:" % line), 400)
+    for name, line in {
+        "id": b"Request-Id: 77",
+        "class": b"Request-Class: vale-almacen",
+        "time-out": b"Request-Timeout-Ms: 9",
+        "key": b"Idempotency-Key: 1",
+        "tenant": b"Tenant: norvalle",
+        "host": b"Host: b",
+        "length": b"Content-Length: 3",
+        "other length": b"Content-Length: 9",
+    }.items()
+}
+BAD |= {
+    f"id {value!r}": (post(Request_Id=value), 400) for value in ("", "a b", "a,b", "x" * 129, "\xe9", "a\tb")
+}
+BAD |= {
+    f"length {value!r}": (post(drop=("Content-Length",), Content_length=value), 400)
+    for value in ("", "+3", "3, 3", "0x3", "three", "9" * 30)
+}
 BAD |= {
     "two requests at once": (post() + post(Request_Id="9b20"), 400),
     "a request and noise": (post() + b"noise", 400),
@@ -66,8 +90,12 @@
     "another protocol": (post(Connection="upgrade", Upgrade="h2c"), 400),
     "HTTP/2.0": (post().replace(b"HTTP/1.1", b"HTTP/2.0"), 400),
     "HTTP/0.9": (b"GET /api\r\n\r\n", 400),
-    "many headers": (post().replace(b"Host:", b"X: " + b"x" * 1000 + b"\r\nHost:" ).replace(
-        b"X:", b"\r\n".join(b"X%d: " % i + b"x" * 1000 for i in range(40)) + b"\r\nX:"), 400),
+    "many headers": (
+        post()
+        .replace(b"Host:", b"X: " + b"x" * 1000 + b"\r\nHost:")
+        .replace(b"X:", b"\r\n".join(b"X%d: " % i + b"x" * 1000 for i in range(40)) + b"\r\nX:"),
+        400,
+    ),
 }
 
 
@@ -149,12 +177,20 @@
 SOON = ClientTimes(sweep_s=0.005, silent_s=0.0, unfinished_s=0.0, linger_s=0.0, spare_s=0.0)
 
 
-@pytest.mark.parametrize("begun, status", [
-    (b"", None), (b"\r\n", None), (b"POST /api HT", 408), (post()[:-1], 408),
-    (CHUNKED + b"3\r\njo", 408), (post(drop=("Content-Length",), body=b"", Content_length="60000000"), 413),
-])
+@pytest.mark.parametrize(
+    "begun, status",
+    [
+        (b"", None),
+        (b"\r\n", None),
+        (b"POST /api HT", 408),
+        (post()[:-1], 408),
+        (CHUNKED + b"3\r\njo", 408),
+        (post(drop=("Content-Length",), body=b"", Content_length="60000000"), 413),
+    ],
+)
 def test_who_never_sends_a_whole_request_gets_an_error_or_a_close(
-        tmp_path: Path, begun: bytes, status: int | None) -> None:
+    tmp_path: Path, begun: bytes, status: int | None
+) -> None:
     async def run() -> None:
         async with world(tmp_path, times=SOON) as w:
             client = await w.ask(begun)
@@ -231,8 +267,12 @@
     path = folder / "config.json"
     path.write_text(json.dumps(doc))
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "nickelmount", env={**os.environ, "RELAY_CONFIG": str(path)},
-        stderr=asyncio.subprocess.PIPE)
+        sys.executable,
+        "-m",
+        "nickelmount",
+        env={**os.environ, "RELAY_CONFIG": str(path)},
+        stderr=asyncio.subprocess.PIPE,
+    )
     assert process.stderr is not None
     while b"listens on" not in (line := await process.stderr.readline()):
         assert line, "ended before it listened"
@@ -306,8 +346,12 @@
 
     async def run() -> None:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "nickelmount", env={**os.environ, "RELAY_CONFIG": str(path)},
-            stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "nickelmount",
+            env={**os.environ, "RELAY_CONFIG": str(path)},
+            stderr=asyncio.subprocess.PIPE,
+        )
         _, err = await process.communicate()
         assert process.returncode == 2
         assert err.startswith(b"nickelmount: ") and err.count(b"\n") == 1, err
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,5 @@
 """Settings validate themselves; a balancer with no or one server stays sane."""
+
 from __future__ import annotations
 
 from pathlib import Path
@@ -11,19 +12,43 @@
 from tests.loopback import config_doc, load_config, settings as wire_settings
 
 from nickelmount.balancer.interface import (
-    Backend, BackendsChanged, ClientGone, Discovery, Fail, Group, ListKind, Outcome, Prices, Refuse,
-    RequestArrived, Send, Settings, TimerFired, Watch,
+    Backend,
+    BackendsChanged,
+    ClientGone,
+    Discovery,
+    Fail,
+    Group,
+    ListKind,
+    Outcome,
+    Prices,
+    Refuse,
+    RequestArrived,
+    Send,
+    Settings,
+    TimerFired,
+    Watch,
 )
 from nickelmount.protocol.settings import settings_from
 
 
-@pytest.mark.parametrize("name, value", [
-    ("siblings", 0), ("max_attempts", 0), ("start_fraction", 0.0), ("start_fraction", 1.5),
-    ("warm_up_us", -1),
-    ("fall_multiple", 0.0), ("fall_multiple", float("inf")), ("me", 1),
-    ("fall_window_us", 0), ("tick_us", -1), ("ask_within_us", 0),
-    ("list_call_us", -1), ("list_call_us", 5_000_000),
-])
+@pytest.mark.parametrize(
+    "name, value",
+    [
+        ("siblings", 0),
+        ("max_attempts", 0),
+        ("start_fraction", 0.0),
+        ("start_fraction", 1.5),
+        ("warm_up_us", -1),
+        ("fall_multiple", 0.0),
+        ("fall_multiple", float("inf")),
+        ("me", 1),
+        ("fall_window_us", 0),
+        ("tick_us", -1),
+        ("ask_within_us", 0),
+        ("list_call_us", -1),
+        ("list_call_us", 5_000_000),
+    ],
+)
 def test_out_of_range_names_the_field(name: str, value: float) -> None:
     values: dict[str, Any] = {name: value}
     with pytest.raises(ValueError, match=name):
@@ -71,10 +96,15 @@
             Prices(probe=price)
 
 
-@pytest.mark.parametrize("event, named", [
-    (RequestArrived(9, 1, SECOND), "request_class"), (RequestArrived(9, -1, SECOND), "request_class"),
-    (RequestArrived(9, 0, SECOND, tenant=1), "tenant"), (RequestArrived(1, 0, SECOND), "request"),
-])
+@pytest.mark.parametrize(
+    "event, named",
+    [
+        (RequestArrived(9, 1, SECOND), "request_class"),
+        (RequestArrived(9, -1, SECOND), "request_class"),
+        (RequestArrived(9, 0, SECOND, tenant=1), "tenant"),
+        (RequestArrived(1, 0, SECOND), "request"),
+    ],
+)
 def test_a_request_that_makes_no_sense_is_named(event: RequestArrived, named: str) -> None:
     d = Drive()
     d.request()
@@ -117,7 +147,8 @@
 
 @pytest.mark.parametrize("within_us, told_us", [(0, 6 * SECOND), (9 * SECOND, 6 * SECOND), (SECOND, SECOND)])
 def test_the_calls_that_must_fit_in_before_a_list_counts_as_told(
-        tmp_path: Path, within_us: int, told_us: int) -> None:
+    tmp_path: Path, within_us: int, told_us: int
+) -> None:
     doc = config_doc(9, [])
     doc["settings"]["rules"]["askWithinUs"] = within_us
     settings = load_config(tmp_path, doc, Clock()).settings
--- a/tests/test_small_fleet.py
+++ b/tests/test_small_fleet.py
@@ -1,4 +1,5 @@
 """The small fleet as a person runs it: it counts right, tells a fault in one line, and leaves nothing."""
+
 from __future__ import annotations
 
 import asyncio
@@ -20,8 +21,13 @@
 
 
 def fleet(*arguments: str | Path) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "nickelmount.fleet", *map(str, arguments)], cwd=ROOT,
-                          timeout=120, capture_output=True, text=True)
+    return subprocess.run(
+        [sys.executable, "-m", "nickelmount.fleet", *map(str, arguments)],
+        cwd=ROOT,
+        timeout=120,
+        capture_output=True,
+        text=True,
+    )
 
 
 def figures(folder: Path) -> dict[str, Any]:
@@ -42,18 +48,23 @@
     assert found["discovery.whole.count"] >= 24  # the history was gone: each agent needed the whole list
 
 
-@pytest.mark.parametrize("text, told", [
-    ("name = 'x'\nseconds = 'long'", "seconds: Expected `float`, got `str`"),
-    ("name = 'x'\n[agents]\nreel = 2", "agents: Object contains unknown field `reel`"),
-    ("name = 'x'\n[agents]\nhollow = 0\nreal = 0", "agents: there are none"),
-    ("name = 'x'\n[[events]]\nkind = 'quake'\nat_s = 1.0", "events[0].kind: Invalid value 'quake'"),
-    ("name = 'x'\n[[events]]\nkind = 'drip'\nat_s = 99.0", "events[0].at_s: 99.0 is behind the end"),
-    ("name = 'x'\n[[events]]\nkind = 'outage'\nat_s = 9.0\nfor_s = 4.0", "events[0].for_s"),
-    ("name = 'x'\n[[events]]\nkind = 'change'\nat_s = 1.0\ncount = 999", "events[0].count: 999 of 200"),
-    ("name = ", "Invalid value"), ("", "missing required field `name`"),
-])
+@pytest.mark.parametrize(
+    "text, told",
+    [
+        ("name = 'x'\nseconds = 'long'", "seconds: Expected `float`, got `str`"),
+        ("name = 'x'\n[agents]\nreel = 2", "agents: Object contains unknown field `reel`"),
+        ("name = 'x'\n[agents]\nhollow = 0\nreal = 0", "agents: there are none"),
+        ("name = 'x'\n[[events]]\nkind = 'quake'\nat_s = 1.0", "events[0].kind: Invalid value 'quake'"),
+        ("name = 'x'\n[[events]]\nkind = 'drip'\nat_s = 99.0", "events[0].at_s: 99.0 is behind the end"),
+        ("name = 'x'\n[[events]]\nkind = 'outage'\nat_s = 9.0\nfor_s = 4.0", "events[0].for_s"),
+        ("name = 'x'\n[[events]]\nkind = 'change'\nat_s = 1.0\ncount = 999", "events[0].count: 999 of 200"),
+        ("name = ", "Invalid value"),
+        ("", "missing required field `name`"),
+    ],
+)
 def test_a_file_that_cannot_be_used_is_one_line_with_key_and_fault(
-        tmp_path: Path, text: str, told: str) -> None:
+    tmp_path: Path, text: str, told: str
+) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(text)
     ended = fleet("check", path)
@@ -101,7 +112,8 @@
 
 @pytest.mark.parametrize("bound, told", [("MEMORY_SHARE", "memory: "), ("START_S", "not over within")])
 def test_a_play_that_passes_its_bounds_is_given_up_and_leaves_no_process(
-        monkeypatch: pytest.MonkeyPatch, bound: str, told: str) -> None:
+    monkeypatch: pytest.MonkeyPatch, bound: str, told: str
+) -> None:
     monkeypatch.setattr(play, bound, 1e-6 if bound == "MEMORY_SHARE" else -22.0)
     with pytest.raises(play.PlayError, match=told):
         asyncio.run(play.Play(read(SMALL), 1, lambda _: None).run())
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -1,4 +1,5 @@
 """A stop, crossing by crossing: all that was taken gets its one final answer, none is cut off by a close."""
+
 from __future__ import annotations
 
 import asyncio
@@ -31,7 +32,8 @@
 
 
 def test_a_connection_just_opened_is_not_closed_on_its_first_request(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(server_module, "FRESH_S", 30.0)
 
     async def run() -> None:
@@ -51,7 +53,8 @@
 
 
 def test_one_that_says_nothing_does_not_keep_a_stop_waiting(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(server_module, "FRESH_S", 0.01)
 
     async def run() -> None:
@@ -149,7 +152,8 @@
 
 @pytest.mark.parametrize("signals", [(signal.SIGHUP,), (signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM)])
 def test_signals_during_a_stop_change_nothing_up_to_the_very_end(
-        tmp_path: Path, signals: tuple[signal.Signals, ...]) -> None:
+    tmp_path: Path, signals: tuple[signal.Signals, ...]
+) -> None:
     async def run() -> None:
         discovery, backend = await Peer().start(), await Peer().start()
         agent = Running(tmp_path)
