--- a/nickelmount/agent/agent.py
+++ b/nickelmount/agent/agent.py
@@ -9,14 +9,36 @@
 from dataclasses import dataclass
 from typing import Any
 
-from nickelmount.balancer import interface as q
+from nickelmount.balancer.actions import (
+    CancelAttempt,
+    FailRequest,
+    FetchEndpoints,
+    LogMessage,
+    RejectRequest,
+    SendAttempt,
+    SendProbe,
+    SetTimer,
+    WatchEndpoints,
+)
 from nickelmount.balancer.balancer import Balancer
+from nickelmount.balancer.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointId,
+    EndpointsChanged,
+    Event,
+    ListUpdateKind,
+    Outcome,
+    ProbeEnded,
+    RequestArrived,
+    TimerFired,
+)
 
-from .upstream import Ask, Backends, Exchange, Result
-from .request_validation import Call
 from .clock import Clock
-from .discovery import Address, Discovery, Listing
+from .discovery import Address, DiscoveryClient, EndpointList
 from .http import Headers
+from .request_validation import ClientRequest
+from .upstream import Exchange, ExchangeResult, Upstream, UpstreamRequest
 
 log = logging.getLogger(__name__)
 
@@ -26,10 +48,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class PendingRequest:
     """A request without its final answer."""
 
-    call: Call
+    call: ClientRequest
     overdue: asyncio.TimerHandle
     attempts: int = 0  # sent so far
 
@@ -37,29 +59,31 @@
 class Agent:
     """Hands events to the module one at a time, in order of arrival, and carries out its actions."""
 
-    def __init__(self, balancer: Balancer, clock: Clock, backends: Backends, discovery: Discovery) -> None:
+    def __init__(
+        self, balancer: Balancer, clock: Clock, backends: Upstream, discovery: DiscoveryClient
+    ) -> None:
         self._balancer, self._clock = balancer, clock
         self._backends, self._discovery = backends, discovery
         self._loop = asyncio.get_running_loop()
-        self._held: dict[int, Held] = {}
+        self._held: dict[int, PendingRequest] = {}
         self._out: dict[tuple[int, int], Exchange] = {}  # attempts without an end
-        self._events: deque[q.Event] = deque()
+        self._events: deque[Event] = deque()
         self._handling = False
         self._taken = 0
         self._carriers: dict[type, Callable[[Any], None]] = {
-            q.Send: self._send,
-            q.Refuse: self._refuse,
-            q.Fail: self._fail,
-            q.Cancel: self._cancel,
-            q.SetTimer: self._set_timer,
-            q.Probe: self._probe,
-            q.Watch: self._watch,
-            q.Fetch: self._fetch,
-            q.Log: self._log,
+            SendAttempt: self._send,
+            RejectRequest: self._refuse,
+            FailRequest: self._fail,
+            CancelAttempt: self._cancel,
+            SetTimer: self._set_timer,
+            SendProbe: self._probe,
+            WatchEndpoints: self._watch,
+            FetchEndpoints: self._fetch,
+            LogMessage: self._log,
         }
 
-    def start(self, known: Listing) -> None:
-        self._post(q.BackendsChanged(q.ListKind.CACHED, self._backends.told(known)))
+    def start(self, known: EndpointList) -> None:
+        self._post(EndpointsChanged(ListUpdateKind.CACHED, self._backends.told(known)))
 
     def move(self, discovery: Address) -> None:
         """Learn of backends there from now on."""
@@ -67,26 +91,25 @@
 
     # The application's side
 
-    def take(self, call: Call) -> None:
+    def take(self, call: ClientRequest) -> None:
         self._taken += 1
         call.number = self._taken
-        overdue = self._loop.call_later(call.patience_us / 1e6 + OVERDUE_S, self._overdue, call.number)
-        self._held[call.number] = Held(call, overdue)
+        overdue = self._loop.call_later(call.timeout_us / 1e6 + OVERDUE_S, self._overdue, call.number)
+        self._held[call.number] = PendingRequest(call, overdue)
         self._post(
-            q.RequestArrived(
+            RequestArrived(
                 call.number,
                 call.request_class,
-                call.patience_us,
+                call.timeout_us,
                 call.tenant,
-                call.key,
                 call.cost_us,
                 call.is_retry,
             )
         )
 
-    def leave(self, call: Call) -> None:
+    def leave(self, call: ClientRequest) -> None:
         if self._over(call.number) is not None:
-            self._post(q.ClientGone(call.number))
+            self._post(ClientDisconnected(call.number))
 
     def give_up_all(self) -> None:
         for number, held in list(self._held.items()):
@@ -94,7 +117,7 @@
                 self._give_up(number)
             else:  # nothing of it was sent on, so trying again is harmless
                 self._answer(number, 503, [], b"refused\n")
-                self._post(q.ClientGone(number))
+                self._post(ClientDisconnected(number))
 
     def _overdue(self, number: int) -> None:
         log.error("request %d: no answer from the module in time", number)
@@ -104,14 +127,14 @@
         """The final answer where the module gave none. A failure is always true."""
         if number in self._held:
             self._answer(number, 500, [], b"failed\n")
-            self._post(q.ClientGone(number))
+            self._post(ClientDisconnected(number))
 
     def _answer(self, number: int, status: int, headers: Headers, body: bytes) -> None:
         held = self._over(number)
         if held is not None:
             held.call.respond(held.call, status, headers, body)
 
-    def _over(self, number: int) -> Held | None:
+    def _over(self, number: int) -> PendingRequest | None:
         """Nothing more goes out for this request: what is still out is closed before its answer is given."""
         held = self._held.pop(number, None)
         if held is not None:
@@ -123,7 +146,7 @@
 
     # Events in
 
-    def _post(self, event: q.Event) -> None:
+    def _post(self, event: Event) -> None:
         """Queued while another is handled: an action may end at once, and handle must not be re-entered."""
         self._events.append(event)
         if self._handling:
@@ -135,13 +158,13 @@
         finally:
             self._handling = False
 
-    def _handle(self, event: q.Event) -> None:
+    def _handle(self, event: Event) -> None:
         try:
             actions = self._balancer.handle(self._clock.now(), event)
         except Exception:
             # The request that the module stumbled on is still owed its answer, and others are to go on.
             log.exception("the module failed on %s", type(event).__name__)
-            number = getattr(event, "request", 0)
+            number = getattr(event, "request_id", 0)
             self._give_up(number)
             return
         for action in actions:
@@ -149,14 +172,14 @@
                 self._carriers[type(action)](action)
             except Exception:
                 log.exception("could not carry out %s", type(action).__name__)
-                self._give_up(getattr(action, "request", 0))
-                if isinstance(action, q.Send) and (action.request, action.attempt) not in self._out:
+                self._give_up(getattr(action, "request_id", 0))
+                if isinstance(action, SendAttempt) and (action.request_id, action.attempt) not in self._out:
                     self._not_sent(action)
 
     # Actions out
 
-    def _send(self, a: q.Send) -> None:
-        held = self._held.get(a.request)
+    def _send(self, a: SendAttempt) -> None:
+        held = self._held.get(a.request_id)
         if held is None:
             # Its answer was given while the module's events waited in the queue. The module counts what it
             # has out by the ends that it is told.
@@ -165,17 +188,19 @@
             # Not read yet: its close came while the loop was busy with others.
             self.leave(held.call)
             return self._not_sent(a)
-        number, attempt, call = a.request, a.attempt, held.call
+        number, attempt, call = a.request_id, a.attempt, held.call
         held.attempts = attempt + 1
-        ask = Ask(call.method, call.target, call.headers, call.body, told_timeout=True, gone=call.gone)
+        ask = UpstreamRequest(
+            call.method, call.target, call.headers, call.body, told_timeout=True, gone=call.gone
+        )
 
-        def done(result: Result) -> None:
+        def done(result: ExchangeResult) -> None:
             self._out.pop((number, attempt), None)
-            if result.outcome is q.Outcome.NOT_SENT and call.gone():
+            if result.outcome is Outcome.NOT_SENT and call.gone():
                 self.leave(call)
-            self._attempt_ended(number, attempt, a.backend, result)
+            self._attempt_ended(number, attempt, a.endpoint_id, result)
 
-        exchange = self._backends.exchange(a.backend, ask, a.timeout_us, done)
+        exchange = self._backends.exchange(a.endpoint_id, ask, a.timeout_us, done)
         if not exchange.ended:
             self._out[number, attempt] = exchange
         if a.write_within_us:
@@ -184,15 +209,15 @@
                 if (number, n) in self._out:
                     self._out[number, n].write_within(a.write_within_us)
 
-    def _not_sent(self, a: q.Send) -> None:
-        self._attempt_ended(a.request, a.attempt, a.backend, Result(q.Outcome.NOT_SENT, 0))
+    def _not_sent(self, a: SendAttempt) -> None:
+        self._attempt_ended(a.request_id, a.attempt, a.endpoint_id, ExchangeResult(Outcome.NOT_SENT, 0))
 
-    def _attempt_ended(self, number: int, attempt: int, backend: q.BackendId, result: Result) -> None:
-        if result.outcome is q.Outcome.OK:
+    def _attempt_ended(self, number: int, attempt: int, backend: EndpointId, result: ExchangeResult) -> None:
+        if result.outcome is Outcome.OK:
             kind = [("Content-Type", result.content_type)] if result.content_type else []
             self._answer(number, 200, kind, result.body)
         self._post(
-            q.AttemptEnded(
+            AttemptEnded(
                 number,
                 attempt,
                 backend,
@@ -203,39 +228,39 @@
             )
         )
 
-    def _refuse(self, a: q.Refuse) -> None:
+    def _refuse(self, a: RejectRequest) -> None:
         advice = [("Retry-After", f"{a.retry_after_us / 1e6:.6f}")] if a.retry_after_us else []
-        self._answer(a.request, 503, advice, b"refused\n")
+        self._answer(a.request_id, 503, advice, b"refused\n")
 
-    def _fail(self, a: q.Fail) -> None:
-        self._answer(a.request, 502, [], b"failed\n")
+    def _fail(self, a: FailRequest) -> None:
+        self._answer(a.request_id, 502, [], b"failed\n")
 
-    def _cancel(self, a: q.Cancel) -> None:
-        exchange = self._out.get((a.request, a.attempt))
+    def _cancel(self, a: CancelAttempt) -> None:
+        exchange = self._out.get((a.request_id, a.attempt))
         if exchange is not None:
             exchange.cancel()
 
-    def _set_timer(self, a: q.SetTimer) -> None:
-        self._loop.call_later(a.delay_us / 1e6, self._post, q.TimerFired(a.token))
+    def _set_timer(self, a: SetTimer) -> None:
+        self._loop.call_later(a.delay_us / 1e6, self._post, TimerFired(a.token))
 
-    def _probe(self, a: q.Probe) -> None:
-        def done(result: Result) -> None:
-            self._post(q.ProbeEnded(a.backend, result.outcome, result.latency_us, result.report))
+    def _probe(self, a: SendProbe) -> None:
+        def done(result: ExchangeResult) -> None:
+            self._post(ProbeEnded(a.endpoint_id, result.outcome, result.latency_us, result.report))
 
-        self._backends.probe(a.backend, done)
+        self._backends.probe(a.endpoint_id, done)
 
-    def _watch(self, a: q.Watch) -> None:
+    def _watch(self, a: WatchEndpoints) -> None:
         self._discovery.watch(self._listed)
 
-    def _fetch(self, a: q.Fetch) -> None:
+    def _fetch(self, a: FetchEndpoints) -> None:
         self._discovery.fetch(self._listed)
 
-    def _listed(self, listing: Listing | None) -> None:
+    def _listed(self, listing: EndpointList | None) -> None:
         if listing is None:
-            self._post(q.BackendsChanged(q.ListKind.FAILED, []))
+            self._post(EndpointsChanged(ListUpdateKind.FAILED, []))
             return
         # Of a whole list, too, the module is told what it changes.
-        self._post(q.BackendsChanged(q.ListKind.DELTA, self._backends.told(listing)))
+        self._post(EndpointsChanged(ListUpdateKind.DELTA, self._backends.told(listing)))
 
-    def _log(self, a: q.Log) -> None:
+    def _log(self, a: LogMessage) -> None:
         log.info("%s", a.text)
--- a/nickelmount/agent/config.py
+++ b/nickelmount/agent/config.py
@@ -8,19 +8,16 @@
 from pathlib import Path
 from typing import Any
 
-from nickelmount.balancer.interface import Discovery, Settings
-from nickelmount.protocol.settings import SettingsError, settings_from
+from nickelmount.balancer.settings import DiscoveryMode, Settings
+from nickelmount.errors import ConfigurationError, SettingsError
+from nickelmount.protocol.settings import settings_from
 
 from .clock import Clock
-from .discovery import ANSWER_S, Address, Listing, ListingParser, parse_address
+from .discovery import ANSWER_S, Address, EndpointList, EndpointListParser, parse_address
 
 TOLD_US = 6_000_000  # on sockets, what discovery has to tell counts as told so much later
 
 
-class ConfigError(Exception):
-    """The configuration is missing or wrong; the text says what, in one line."""
-
-
 @dataclass(slots=True, frozen=True)
 class Config:
     name: str
@@ -28,8 +25,8 @@
     discovery: Address
     seed: int
     sockets: int  # file descriptors this process may hold
-    known: Listing
-    parser: ListingParser
+    known: EndpointList
+    parser: EndpointListParser
     settings: Settings
     connect_timeout_us: int
     conn_idle_us: int
@@ -39,31 +36,31 @@
     """Read the file that RELAY_CONFIG names."""
     path = env.get("RELAY_CONFIG")
     if not path:
-        raise ConfigError("RELAY_CONFIG is not set")
+        raise ConfigurationError("RELAY_CONFIG is not set")
     try:
         doc = json.loads(Path(path).read_text())
     except (OSError, ValueError, RecursionError) as e:
-        raise ConfigError(f"RELAY_CONFIG: {e}") from None
+        raise ConfigurationError(f"RELAY_CONFIG: {e}") from None
     try:
-        return from_doc(doc, env, clock)
+        return config_from(doc, env, clock)
     except KeyError as e:
-        raise ConfigError(f"RELAY_CONFIG: {e} is missing") from None
+        raise ConfigurationError(f"RELAY_CONFIG: {e} is missing") from None
     except (TypeError, AttributeError, ValueError, OverflowError, SettingsError) as e:
-        raise ConfigError(f"RELAY_CONFIG: {e}") from None
+        raise ConfigurationError(f"RELAY_CONFIG: {e}") from None
 
 
-def load_again(env: Mapping[str, str], clock: Clock) -> Config:
+def reload(env: Mapping[str, str], clock: Clock) -> Config:
     """Read it anew while running. RELAY_DISCOVERY is as old as the process: now the file's address counts."""
     return load({k: v for k, v in env.items() if k != "RELAY_DISCOVERY"}, clock)
 
 
-def from_doc(doc: dict[str, Any], env: Mapping[str, str], clock: Clock) -> Config:
+def config_from(doc: dict[str, Any], env: Mapping[str, str], clock: Clock) -> Config:
     """The configuration in a document as RELAY_CONFIG's file holds it; raises what its first fault raises."""
     facts = doc["settings"]
     allowed = facts["allowed"]
-    parser = ListingParser(clock, tuple(facts.get("localities") or ()), tuple(facts.get("skus") or ()))
+    parser = EndpointListParser(clock, tuple(facts.get("localities") or ()), tuple(facts.get("skus") or ()))
     settings = settings_from(facts)
-    told_us = min(settings.ask_within_us, TOLD_US)
+    told_us = min(settings.notified_after_us, TOLD_US)
     return Config(
         name=str(doc.get("name") or env.get("RELAY_NAME") or ""),
         listen=parse_address(env.get("RELAY_LISTEN") or doc["listen"]),
@@ -78,11 +75,11 @@
         # agent on this machine, which answers at once and at no cost.
         settings=replace(
             settings,
-            can_tell=False,
-            discovery=Discovery.ASK,
-            lists_at_hand=settings.discovery is Discovery.PUSH,
-            ask_within_us=told_us,
-            list_call_us=min(int(ANSWER_S * 1e6), told_us // 3),
+            can_gossip=False,
+            discovery_mode=DiscoveryMode.POLL,
+            discovery_is_local=settings.discovery_mode is DiscoveryMode.PUSH,
+            notified_after_us=told_us,
+            list_call_timeout_us=min(int(ANSWER_S * 1e6), told_us // 3),
         ),
         connect_timeout_us=int(allowed["connectTimeoutUs"]),
         conn_idle_us=int(allowed["connIdleUs"]),
--- a/nickelmount/agent/connection_pool.py
+++ b/nickelmount/agent/connection_pool.py
@@ -7,12 +7,12 @@
 
 from httptools import HttpResponseParser
 
-from nickelmount.balancer.interface import BackendId
+from nickelmount.balancer.events import EndpointId
 
 from .clock import Clock
 from .connection import Connection
-from .discovery import Member
-from .http import Message, Reader
+from .discovery import ListedEndpoint
+from .http import HttpMessage, HttpReader
 
 IDLE_SHARE = 0.7  # of the time after which a backend closes an idle connection; then it is retired here
 # Bytes that belong to no answer come right behind it, a second answer some milliseconds late. Till then a
@@ -21,10 +21,10 @@
 ANSWER_BYTES = 1024 * 1024  # they come with 400 KB on busy days; the body is held whole
 
 
-class User(Protocol):
+class ConnectionOwner(Protocol):
     """Who has the connection in hand."""
 
-    def on_answer(self, answer: Message) -> None: ...
+    def on_answer(self, answer: HttpMessage) -> None: ...
 
     def on_spoilt(self) -> None:
         """What comes is no answer that can be used; the connection is still open."""
@@ -33,14 +33,14 @@
         """The backend has closed it."""
 
 
-class Pooled(Connection):
+class PooledConnection(Connection):
     """A connection to a backend; idle, or in the hands of one exchange."""
 
-    def __init__(self, pool: Pool, member: Member) -> None:
+    def __init__(self, pool: ConnectionPool, member: ListedEndpoint) -> None:
         super().__init__()
         self.member, self._pool = member, pool
-        self._reader = Reader(HttpResponseParser, ANSWER_BYTES)
-        self.user: User | None = None
+        self._reader = HttpReader(HttpResponseParser, ANSWER_BYTES)
+        self.user: ConnectionOwner | None = None
         self.clean = True  # nothing has come but the answers that were asked for, and it may be used again
         self.idle_since = 0
         self.retire: asyncio.TimerHandle | None = None
@@ -77,7 +77,7 @@
         return not self.closed and self.quiet()
 
 
-class Pool:
+class ConnectionPool:
     """The connections to all backends."""
 
     def __init__(
@@ -88,8 +88,8 @@
         self._idle_us = int(conn_idle_us * IDLE_SHARE)
         self._rest_us = rest_us
         self._most = most  # connections at once, so that descriptors are left for clients
-        self._idle: dict[BackendId, list[Pooled]] = {}
-        self._open: set[Pooled] = set()
+        self._idle: dict[EndpointId, list[PooledConnection]] = {}
+        self._open: set[PooledConnection] = set()
         self.opening: set[asyncio.Task[None]] = set()  # each is about to open one
 
     def room(self) -> bool:
@@ -104,21 +104,21 @@
         self.discard(longest)
         return True
 
-    async def open(self, member: Member) -> Pooled:
+    async def open(self, member: ListedEndpoint) -> PooledConnection:
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(self._connect_s):
             _, connection = await loop.create_connection(
-                lambda: Pooled(self, member), member.address.host, member.address.port
+                lambda: PooledConnection(self, member), member.address.host, member.address.port
             )
         self._open.add(connection)
         return connection
 
-    def take(self, member: Member) -> Pooled | None:
+    def take(self, member: ListedEndpoint) -> PooledConnection | None:
         """The idle connection used last, if there is one that can be trusted."""
-        kept = self._idle.get(member.backend.id)
+        kept = self._idle.get(member.endpoint.id)
         rested = self._clock.now() - self._rest_us
-        resting: list[Pooled] = []
-        found: Pooled | None = None
+        resting: list[PooledConnection] = []
+        found: PooledConnection | None = None
         while kept and found is None:
             connection = kept.pop()
             if connection.idle_since > rested:
@@ -133,7 +133,7 @@
             kept.extend(reversed(resting))
         return found
 
-    def give_back(self, connection: Pooled, answered: bool, ready: Member | None) -> None:
+    def give_back(self, connection: PooledConnection, answered: bool, ready: ListedEndpoint | None) -> None:
         """Keep a connection whose exchange is over in good order; close any other."""
         connection.user = None
         if (
@@ -148,17 +148,17 @@
         connection.retire = asyncio.get_running_loop().call_later(
             self._idle_us / 1e6, self.discard, connection
         )
-        self._idle.setdefault(connection.member.backend.id, []).append(connection)
+        self._idle.setdefault(connection.member.endpoint.id, []).append(connection)
 
-    def forget(self, backend: BackendId) -> None:
+    def forget(self, backend: EndpointId) -> None:
         """Close its idle connections."""
         for connection in self._idle.pop(backend, []):
             self.discard(connection)
 
-    def discard(self, connection: Pooled) -> None:
+    def discard(self, connection: PooledConnection) -> None:
         if connection.retire is not None:
             connection.retire.cancel()
-        backend = connection.member.backend.id
+        backend = connection.member.endpoint.id
         kept = self._idle.get(backend)
         if kept is not None and connection in kept:
             kept.remove(connection)
--- a/nickelmount/agent/discovery.py
+++ b/nickelmount/agent/discovery.py
@@ -15,22 +15,27 @@
 
 from httptools import HttpResponseParser
 
-from nickelmount.balancer.interface import Backend, State
+from nickelmount.balancer.events import Endpoint, EndpointStatus
+from nickelmount.errors import HttpError
 
 from .clock import Clock
 from .connection import Connection
-from .http import Reader, Unreadable, request
+from .http import HttpReader, request
 
 log = logging.getLogger(__name__)
 
 PATH = "/catalog/members"
 WAIT_MS = 20_000  # long: each call costs discovery, which all agents share
-HAND_WAIT_MS = 2_000  # a list at hand costs no one, and what a silent watch misses counts as told after 6 s
+LOCAL_WAIT_MS = 2_000  # a list at hand costs no one, and what a silent watch misses counts as told after 6 s
 ANSWER_S = 2.0  # a call that need not wait may take so long, its connection included
 LATE_S = 0.5  # and one that waited so long past its wait: 2 s past it, what it misses counts as told
 ANSWER_BYTES = 4 * 1024 * 1024  # of an answer
 SLICE = 64  # entries of a list that are read in one turn of the loop: half a millisecond
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES = {
+    "SERVING": EndpointStatus.READY,
+    "DRAINING": EndpointStatus.DRAINING,
+    "DELETED": EndpointStatus.REMOVED,
+}
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,26 +45,26 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Member:
-    backend: Backend
+class ListedEndpoint:
+    endpoint: Endpoint
     address: Address
 
-    def same_process(self, other: Member | None) -> bool:
+    def same_process(self, other: ListedEndpoint | None) -> bool:
         """Whether a connection to the one leads to the other."""
         return (
             other is not None
             and self.address == other.address
-            and self.backend.started_at == other.backend.started_at
+            and self.endpoint.started_at_us == other.endpoint.started_at_us
         )
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
+class EndpointList:
     """An answer of discovery: the whole list, or what has changed."""
 
     revision: int
     complete: bool
-    members: tuple[Member, ...]
+    members: tuple[ListedEndpoint, ...]
 
 
 def parse_address(text: str) -> Address:
@@ -72,7 +77,7 @@
 _FIELDS = itemgetter("host_port", "locality", "flavor", "cell", "phase", "size", "up_since_ms")
 
 
-class ListingParser:
+class EndpointListParser:
     """Turns discovery's JSON into a Listing; raises ValueError on what does not fit its form as a whole.
 
     An entry that reads as it last did gives the same Member, so that a whole list of which little has changed
@@ -86,13 +91,15 @@
         self._clock = clock
         self._zones = {name: i for i, name in enumerate(zones)}
         self._kinds = {name: i for i, name in enumerate(kinds)}
-        self._read: dict[str, tuple[tuple[Any, ...], Member]] = {}  # of each id that is listed, as it came
+        self._read: dict[
+            str, tuple[tuple[Any, ...], ListedEndpoint]
+        ] = {}  # of each id that is listed, as it came
 
-    def parse(self, doc: Any) -> Listing:
+    def parse(self, doc: Any) -> EndpointList:
         with _form():
             return self._listing(doc, [self._entry(m) for m in _entries(doc)])
 
-    async def parse_aside(self, doc: Any) -> Listing:
+    async def parse_aside(self, doc: Any) -> EndpointList:
         """The same in many turns of the loop: a list of thousands would hold up calls for 50 ms."""
         with _form():
             entries, members = _entries(doc), []
@@ -102,15 +109,15 @@
                 members += [self._entry(m) for m in entries[i : i + SLICE]]
             return self._listing(doc, members)
 
-    def _listing(self, doc: Any, members: list[Member | None]) -> Listing:
+    def _listing(self, doc: Any, members: list[ListedEndpoint | None]) -> EndpointList:
         told = tuple(m for m in members if m is not None)
-        listing = Listing(int(doc["revision"]), bool(doc["complete"]), told)
+        listing = EndpointList(int(doc["revision"]), bool(doc["complete"]), told)
         if listing.complete:
-            named = {m.backend.id for m in listing.members}
+            named = {m.endpoint.id for m in listing.members}
             self._read = {name: read for name, read in self._read.items() if name in named}
         return listing
 
-    def _entry(self, m: Any) -> Member | None:
+    def _entry(self, m: Any) -> ListedEndpoint | None:
         try:
             fields = _FIELDS(m)
             read = self._read.get(m["id"])
@@ -120,35 +127,38 @@
             fields = ()  # some are optional, and what is wrong with the others is said below
         member = self._made(m)
         if member is not None:
-            self._read.pop(str(member.backend.id), None)
-            if fields and member.backend.state is not State.GONE:
+            self._read.pop(str(member.endpoint.id), None)
+            if fields and member.endpoint.status is not EndpointStatus.REMOVED:
                 # What stands in many entries is kept once.
                 kept = tuple(sys.intern(x) if type(x) is str else x for x in fields)
-                self._read[str(member.backend.id)] = kept, member
+                self._read[str(member.endpoint.id)] = kept, member
         return member
 
-    def _made(self, m: Any) -> Member | None:
+    def _made(self, m: Any) -> ListedEndpoint | None:
         try:
             return self._member(m)
         except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as e:
             log.warning("entry of the list left out: %s %s", type(e).__name__, e)
         name = m.get("id") if isinstance(m, dict) else None
-        return Member(Backend(str(name), State.GONE), Address("", 0)) if isinstance(name, str) else None
+        return (
+            ListedEndpoint(Endpoint(str(name), EndpointStatus.REMOVED), Address("", 0))
+            if isinstance(name, str)
+            else None
+        )
 
-    def _member(self, m: Any) -> Member:
+    def _member(self, m: Any) -> ListedEndpoint:
         size = float(m.get("size") or 1.0)
         if not 0.0 < size < 1e9:  # not finite or below 0 would poison every mean it enters
             raise ValueError(f"size {size}")
-        backend = Backend(
+        backend = Endpoint(
             str(m["id"]),
             STATES[m["phase"]],
             self._zones.get(m.get("locality"), 0),
             int(m.get("cell") or 0),
-            self._kinds.get(m.get("flavor"), 0),
             size,
             self._clock.from_unix_ms(int(m.get("up_since_ms") or 0)),
         )
-        return Member(backend, parse_address(m["host_port"]))
+        return ListedEndpoint(backend, parse_address(m["host_port"]))
 
 
 @contextmanager
@@ -167,12 +177,12 @@
     return entries
 
 
-class _Call(Connection):
+class _DiscoveryConnection(Connection):
     """A connection to discovery; one call at a time."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._reader = Reader(HttpResponseParser, ANSWER_BYTES)
+        self._reader = HttpReader(HttpResponseParser, ANSWER_BYTES)
         self._answer: asyncio.Future[bytes] | None = None
 
     async def get(self, target: str) -> bytes:
@@ -213,13 +223,13 @@
             answer.set_exception(error)
 
 
-class Discovery:
+class DiscoveryClient:
     """Asks discovery. A watch goes on by itself from call to call until a call fails."""
 
     def __init__(
         self,
         address: Address,
-        parser: ListingParser,
+        parser: EndpointListParser,
         revision: int,
         connect_s: float,
         wait_ms: int = WAIT_MS,
@@ -236,18 +246,18 @@
         self._watching: asyncio.Task[None] | None = None
         self._fetches: set[asyncio.Task[None]] = set()
 
-    def watch(self, told: Callable[[Listing | None], None]) -> None:
+    def watch(self, told: Callable[[EndpointList | None], None]) -> None:
         """Report every change from now on; None, once, when the watch has broken."""
         if self._watching is None or self._watching.done():
             self._watching = asyncio.get_running_loop().create_task(self._watch(told))
 
-    def fetch(self, told: Callable[[Listing | None], None]) -> None:
+    def fetch(self, told: Callable[[EndpointList | None], None]) -> None:
         """Report the whole list once, or None."""
         task = asyncio.get_running_loop().create_task(self._fetch(told))
         self._fetches.add(task)
         task.add_done_callback(self._fetches.discard)
 
-    def move(self, address: Address, told: Callable[[Listing | None], None]) -> None:
+    def move(self, address: Address, told: Callable[[EndpointList | None], None]) -> None:
         """Leave the old address, whose calls end unreported, and begin at the new one with the whole list:
         versions of the one mean nothing to the other."""
         if address == self._address:
@@ -258,8 +268,8 @@
         self._address, self._revision, self._watching = address, None, None
         self.watch(told)
 
-    async def _watch(self, told: Callable[[Listing | None], None]) -> None:
-        call: _Call | None = None
+    async def _watch(self, told: Callable[[EndpointList | None], None]) -> None:
+        call: _DiscoveryConnection | None = None
         try:
             while True:
                 if self._revision is None or self._anew:
@@ -309,9 +319,9 @@
             return self._wait_ms
         return int(self._wait_ms * (0.5 + 0.5 * self._spread.random()))
 
-    async def _fetch(self, told: Callable[[Listing | None], None]) -> None:
-        call: _Call | None = None
-        listing: Listing | None = None
+    async def _fetch(self, told: Callable[[EndpointList | None], None]) -> None:
+        call: _DiscoveryConnection | None = None
+        listing: EndpointList | None = None
         try:
             async with asyncio.timeout(ANSWER_S):
                 call = await self._connected(None)
@@ -328,7 +338,7 @@
                 call.drop()
         told(listing)
 
-    async def _connected(self, call: _Call | None) -> _Call:
+    async def _connected(self, call: _DiscoveryConnection | None) -> _DiscoveryConnection:
         """The same connection while discovery keeps it, else a new one."""
         if call is not None:
             if not call.closed:
@@ -336,11 +346,13 @@
             call.drop()
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(min(self._connect_s, ANSWER_S)):
-            _, call = await loop.create_connection(_Call, self._address.host, self._address.port)
+            _, call = await loop.create_connection(
+                _DiscoveryConnection, self._address.host, self._address.port
+            )
         return call
 
 
 def _failed(e: Exception) -> None:
     """What discovery does wrong is one line; a fault of the agent's own shows where it is."""
-    foreseen = isinstance(e, OSError | ValueError | Unreadable)
+    foreseen = isinstance(e, OSError | ValueError | HttpError)
     log.warning("call to discovery failed: %s", str(e) or type(e).__name__, exc_info=not foreseen)
--- a/nickelmount/agent/downstream.py
+++ b/nickelmount/agent/downstream.py
@@ -9,16 +9,18 @@
 
 from httptools import HttpRequestParser
 
-from .request_validation import Call, Checker
+from nickelmount.errors import HttpError
+
 from .connection import Connection
-from .http import Headers, Message, Reader, Unreadable, answer
+from .http import Headers, HttpMessage, HttpReader, answer
+from .request_validation import ClientRequest, RequestValidator
 
 API, HEALTH = b"/api", b"/_health"
 BODY_LIMIT = 64 * 1024
 
 
 @dataclass(slots=True, frozen=True)
-class ClientTimes:
+class ClientTimeouts:
     """How long a connection may stay as it is, in seconds. All are looked at together, `sweep_s` apart."""
 
     sweep_s: float = 0.25
@@ -29,43 +31,43 @@
     kept_s: float = 20.0  # nothing open on it
 
 
-class Taker(Protocol):
+class RequestHandler(Protocol):
     """Who takes the calls."""
 
-    def take(self, call: Call) -> None: ...
+    def take(self, call: ClientRequest) -> None: ...
 
-    def leave(self, call: Call) -> None:
+    def leave(self, call: ClientRequest) -> None:
         """The client has gone."""
 
     def give_up_all(self) -> None:
         """Answer at once whatever is held."""
 
 
-class Host(Protocol):
+class ConnectionHost(Protocol):
     """What a connection needs of its server."""
 
-    taker: Taker
-    checker: Checker
+    taker: RequestHandler
+    checker: RequestValidator
     draining: bool
     over: bool
     open_ids: set[bytes]
 
-    def came(self, client: Client) -> None: ...
+    def came(self, client: ClientConnection) -> None: ...
 
-    def left(self, client: Client) -> None: ...
+    def left(self, client: ClientConnection) -> None: ...
 
 
-class Client(Connection):
+class ClientConnection(Connection):
     """A connection of the application; one request at a time."""
 
-    def __init__(self, host: Host, now: Callable[[], float]) -> None:
+    def __init__(self, host: ConnectionHost, now: Callable[[], float]) -> None:
         super().__init__()
         self._host, self._now = host, now
-        self._reader = Reader(HttpRequestParser, BODY_LIMIT)
-        self._request: Message | None = None  # the one in hand
-        self._call: Call | None = None
+        self._reader = HttpReader(HttpRequestParser, BODY_LIMIT)
+        self._request: HttpMessage | None = None  # the one in hand
+        self._call: ClientRequest | None = None
         self._ahead = False  # more came while it was
-        self._continued: Message | None = None  # has been asked for its body
+        self._continued: HttpMessage | None = None  # has been asked for its body
         self.since = now()  # when the present wait began
         self.asked = False  # a request has been answered
         self.lingers = False
@@ -81,7 +83,7 @@
         """The last answer was given so long ago, and closing now resets nothing of it."""
         return self.lingers and self.written and self._now() - self.since > after_s and self.quiet()
 
-    def allowed_s(self, times: ClientTimes) -> float | None:
+    def allowed_s(self, times: ClientTimeouts) -> float | None:
         """How long it may stay as it is; None: a request is in hand, and that is timed elsewhere."""
         if self._call is not None:
             return None
@@ -96,7 +98,7 @@
         if self.lingers or self.deaf:
             self.drop()
         elif self._reader.current is not None:
-            self._error(Unreadable(408, "request not complete in time"))
+            self._error(HttpError(408, "request not complete in time"))
         elif not self.written:
             self.drop()  # it does not read its answer, and a close would wait for that
         elif self.quiet():
@@ -123,7 +125,7 @@
         whole = self._reader.feed(data)
         current, error = self._reader.current, self._reader.error
         if whole and (len(whole) > 1 or current is not None or error is not None):
-            self._error(Unreadable(400, "one request at a time"))
+            self._error(HttpError(400, "one request at a time"))
         elif error is not None:
             self._error(error)
         elif whole:
@@ -137,7 +139,7 @@
         self._leave()
         if self.transport is None or self.transport.is_closing():
             return
-        self._error(Unreadable(500, "internal error"))
+        self._error(HttpError(500, "internal error"))
 
     def on_end(self) -> None:
         self._leave()
@@ -147,32 +149,32 @@
         if call is not None:
             self._host.taker.leave(call)
 
-    def _release(self) -> Call | None:
+    def _release(self) -> ClientRequest | None:
         call, self._call = self._call, None
         if call is not None:
             self._host.open_ids.discard(call.id)
         return call
 
-    def _continue(self, request: Message) -> None:
+    def _continue(self, request: HttpMessage) -> None:
         wanted = request.fields.get(b"expect", b"").lower() == b"100-continue"
         if wanted and self._reader.in_body and self._continued is not request:
             self._continued = request
             self.send(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _take(self, request: Message) -> None:
+    def _take(self, request: HttpMessage) -> None:
         self._request = request
         try:
             path = request.target.partition(b"?")[0]
             if path == HEALTH:
                 return self._respond(503 if self._host.draining else 200, [], b"")
             if path != API:
-                raise Unreadable(404, "no such path")
+                raise HttpError(404, "no such path")
             if self._host.over:
                 return self._respond(503, [], b"refused\n")
             call = self._host.checker.check(request, self._answer)
             if call.id in self._host.open_ids:
-                raise Unreadable(409, "this Request-Id is open")
-        except Unreadable as e:
+                raise HttpError(409, "this Request-Id is open")
+        except HttpError as e:
             return self._respond(e.status, [], f"{e}\n".encode())
         call.gone = self.gone
         if self.gone():
@@ -183,13 +185,13 @@
 
     # What goes out
 
-    def _answer(self, call: Call, status: int, headers: Headers, body: bytes) -> None:
+    def _answer(self, call: ClientRequest, status: int, headers: Headers, body: bytes) -> None:
         if self._call is not call:
             return
         self._release()
         self._respond(status, headers, body)
         if self._ahead:
-            self._error(Unreadable(400, "one request at a time"))
+            self._error(HttpError(400, "one request at a time"))
 
     def _respond(self, status: int, headers: Headers, body: bytes) -> None:
         """The answer to a request that came whole."""
@@ -206,7 +208,7 @@
             self.lingers = True
             self.end()
 
-    def _error(self, e: Unreadable) -> None:
+    def _error(self, e: HttpError) -> None:
         """The answer to what is not, or not yet, a request."""
         if self.lingers or self.closed or self.transport is None or self.transport.is_closing():
             return
--- a/nickelmount/agent/http.py
+++ b/nickelmount/agent/http.py
@@ -6,6 +6,8 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser, HttpResponseParser
 
+from nickelmount.errors import HttpError
+
 HEAD_LIMIT = 32 * 1024  # bytes of request or status line and headers
 INTERIM_LIMIT = 16  # answers 1xx ahead of the one that counts
 
@@ -24,15 +26,7 @@
 }
 
 
-class Unreadable(Exception):
-    """What came is no message that can be used; the status says so to a client."""
-
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
-        self.status = status
-
-
-class Message:
+class HttpMessage:
     """A request or an answer."""
 
     __slots__ = ("method", "target", "status", "fields", "repeated", "body", "keep_alive")
@@ -50,7 +44,7 @@
         return None if value is None else value.decode("latin-1")
 
 
-class Reader:
+class HttpReader:
     """Bytes in, whole messages out. After an error it reads no more.
 
     llhttp judges the form: characters, lengths, Content-Length beside Transfer-Encoding. It sets no bound on
@@ -60,15 +54,15 @@
     def __init__(self, parser: type[HttpRequestParser] | type[HttpResponseParser], body_limit: int) -> None:
         self._new, self._parser = parser, parser(self)
         self._body_limit = body_limit
-        self._whole: list[Message] = []
+        self._whole: list[HttpMessage] = []
         self.in_body = False
         self._head_bytes = self._unfinished = 0  # of a head: its lines so far, all that came without its end
         self._body_bytes = 0  # of all messages
         self._interim = 0
-        self.current: Message | None = None  # begun and not complete
-        self.error: Unreadable | None = None
+        self.current: HttpMessage | None = None  # begun and not complete
+        self.error: HttpError | None = None
 
-    def feed(self, data: bytes) -> list[Message]:
+    def feed(self, data: bytes) -> list[HttpMessage]:
         """The messages that these bytes complete; `error` is set where what follows them is unreadable."""
         if self.error is not None:
             return []
@@ -76,16 +70,16 @@
         try:
             self._parser.feed_data(data)
         except HttpParserUpgrade:
-            self.error = Unreadable(400, "no other protocol is spoken here")
+            self.error = HttpError(400, "no other protocol is spoken here")
             self._whole.clear()
         except HttpParserError as e:
             # A limit that a callback found comes wrapped in an error of the parser's.
-            self.error = self.error or Unreadable(400, f"malformed message: {e}")
+            self.error = self.error or HttpError(400, f"malformed message: {e}")
         if self.current is not None:
             # In a body what brings none of it: of a trailer the parser keeps all, and it may never end.
             self._unfinished = self._unfinished + len(data) if self._body_bytes == had else 0
             if self._unfinished > HEAD_LIMIT:
-                self.error = self.error or Unreadable(400, "head too large")
+                self.error = self.error or HttpError(400, "head too large")
         if self.error is not None:
             self._parser = self._new(self)  # the old one keeps what it has read of a line
         whole, self._whole = self._whole, []
@@ -94,7 +88,7 @@
     # llhttp's side
 
     def on_message_begin(self) -> None:
-        self.current, self.in_body = Message(), False
+        self.current, self.in_body = HttpMessage(), False
         self._head_bytes = self._unfinished = 0
 
     def on_url(self, url: bytes) -> None:
@@ -155,7 +149,7 @@
             self._stop(400, "head too large")
 
     def _stop(self, status: int, why: str) -> None:
-        self.error = Unreadable(status, why)
+        self.error = HttpError(status, why)
         raise self.error
 
 
--- a/nickelmount/agent/lifecycle.py
+++ b/nickelmount/agent/lifecycle.py
@@ -14,15 +14,16 @@
 from typing import Any
 
 from nickelmount.balancer.balancer import Balancer
+from nickelmount.errors import ConfigurationError
 
 from .agent import Agent
-from .upstream import Backends
-from .downstream import ClientTimes
 from .clock import Clock
-from .config import Config, ConfigError, load, load_again
-from .discovery import HAND_WAIT_MS, WAIT_MS, Discovery
-from .connection_pool import REST_US, Pool
-from .listener import DrainTimes, Server
+from .config import Config, load, reload
+from .connection_pool import REST_US, ConnectionPool
+from .discovery import LOCAL_WAIT_MS, WAIT_MS, DiscoveryClient
+from .downstream import ClientTimeouts
+from .listener import Listener, ShutdownTimes
+from .upstream import Upstream
 
 log = logging.getLogger("nickelmount")
 
@@ -34,23 +35,23 @@
 
 
 def assemble(
-    config: Config, clock: Clock, times: ClientTimes | None = None, rest_us: int = REST_US
-) -> tuple[Agent, Server]:
+    config: Config, clock: Clock, times: ClientTimeouts | None = None, rest_us: int = REST_US
+) -> tuple[Agent, Listener]:
     """The parts, wired; nothing has started yet."""
     settings, both = config.settings, max(2, config.sockets - DESCRIPTORS_APART)
     clients = max(1, int(CLIENT_SHARE * both))
-    pool = Pool(clock, config.connect_timeout_us, config.conn_idle_us, both - clients, rest_us)
-    backends = Backends(clock, settings.report_fields, pool)
-    discovery = Discovery(
+    pool = ConnectionPool(clock, config.connect_timeout_us, config.conn_idle_us, both - clients, rest_us)
+    backends = Upstream(clock, settings.load_report_fields, pool)
+    discovery = DiscoveryClient(
         config.discovery,
         config.parser,
         config.known.revision,
         config.connect_timeout_us / 1e6,
-        HAND_WAIT_MS if settings.lists_at_hand else WAIT_MS,
-        None if settings.lists_at_hand else Random(config.seed),
+        LOCAL_WAIT_MS if settings.discovery_is_local else WAIT_MS,
+        None if settings.discovery_is_local else Random(config.seed),
     )
     agent = Agent(Balancer(settings, config.seed), clock, backends, discovery)
-    return agent, Server(settings, agent, clients, times or ClientTimes())
+    return agent, Listener(settings, agent, clients, times or ClientTimeouts())
 
 
 async def serve(config: Config, clock: Clock) -> int:
@@ -71,7 +72,7 @@
     log.info("%s listens on %s:%d", config.name, config.listen.host, port)
     await stop.wait()
     longest_s = min(LONGEST_S, max(c.deadline_us for c in config.settings.classes) / 1e6)
-    await server.drain(DrainTimes(IDLE_S, SERVE_S, longest_s + FINISH_S))
+    await server.drain(ShutdownTimes(IDLE_S, SERVE_S, longest_s + FINISH_S))
     log.info("%s stops", config.name)
     # The loop takes its handlers away as it closes: one that came after that would kill what has ended well.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM, signal.SIGINT))
@@ -81,8 +82,8 @@
 def _reload(agent: Agent, clock: Clock) -> None:
     """Move to the discovery that the file now names; a file that cannot be used changes nothing."""
     try:
-        config = load_again(os.environ, clock)
-    except ConfigError as e:
+        config = reload(os.environ, clock)
+    except ConfigurationError as e:
         log.error("the old configuration stays: %s", e)
         return
     log.info("configuration read again; discovery at %s:%d", config.discovery.host, config.discovery.port)
@@ -101,7 +102,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load(os.environ, clock)
-    except ConfigError as e:
+    except ConfigurationError as e:
         print(f"nickelmount: {e}", file=sys.stderr)
         return 2
     return asyncio.run(serve(config, clock))
--- a/nickelmount/agent/listener.py
+++ b/nickelmount/agent/listener.py
@@ -7,11 +7,11 @@
 import socket
 from dataclasses import dataclass
 
-from nickelmount.balancer.interface import Settings
+from nickelmount.balancer.settings import Settings
 
-from .request_validation import Checker
-from .downstream import Client, ClientTimes, Taker
 from .discovery import Address
+from .downstream import ClientConnection, ClientTimeouts, RequestHandler
+from .request_validation import RequestValidator
 
 BACKLOG = 512
 ACCEPTS = 16  # at most so many in one turn of the loop, or a crowd could take all descriptors in one
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DrainTimes:
+class ShutdownTimes:
     """The stages of a stop, in seconds from its start."""
 
     idle_s: float  # then idle connections are closed
@@ -30,17 +30,17 @@
     end_s: float  # then all is over
 
 
-class Server:
+class Listener:
     """Listens for the application."""
 
-    def __init__(self, settings: Settings, taker: Taker, most: int, times: ClientTimes) -> None:
+    def __init__(self, settings: Settings, taker: RequestHandler, most: int, times: ClientTimeouts) -> None:
         self.taker = taker
         self._most = most  # connections at once, so that descriptors are left for backends
         self._times = times
         self._loop = asyncio.get_running_loop()
         self._sweeping: asyncio.TimerHandle | None = None
-        self.checker = Checker(settings.classes, settings.tenants)
-        self.connections: set[Client] = set()
+        self.checker = RequestValidator(settings.classes, settings.tenants)
+        self.connections: set[ClientConnection] = set()
         self.open_ids: set[bytes] = set()  # of the requests in hand
         self.draining = False  # answers ask the client to close
         self.over = False  # and what still comes is refused
@@ -51,13 +51,13 @@
         """Returns the port, for an address whose port is 0."""
         self._socket = sock = socket.create_server((address.host, address.port), backlog=BACKLOG)
         self._listener = await self._loop.create_server(
-            lambda: Client(self, self._loop.time), sock=sock, backlog=ACCEPTS
+            lambda: ClientConnection(self, self._loop.time), sock=sock, backlog=ACCEPTS
         )
         sock.listen(BACKLOG)  # asyncio's backlog is both: what waits in the kernel, and accepts in one turn
         self._sweep()
         return int(sock.getsockname()[1])
 
-    def came(self, client: Client) -> None:
+    def came(self, client: ClientConnection) -> None:
         """One more connection. Where there is no room another makes way, or else this one."""
         if len(self.connections) >= self._most:
             other = self._longest_spare()
@@ -68,10 +68,10 @@
             self.connections.discard(other)
         self.connections.add(client)
 
-    def left(self, client: Client) -> None:
+    def left(self, client: ClientConnection) -> None:
         self.connections.discard(client)
 
-    def _longest_spare(self) -> Client | None:
+    def _longest_spare(self) -> ClientConnection | None:
         """The one that has had nothing open for longest, has never said anything, or has its last answer."""
         now = self._loop.time()
         spare = sorted(
@@ -89,7 +89,7 @@
             if allowed_s is not None and now - client.since > allowed_s:
                 client.expire()
 
-    async def drain(self, times: DrainTimes) -> None:
+    async def drain(self, times: ShutdownTimes) -> None:
         """Take leave of the clients: nothing that was taken is lost."""
         loop = self._loop
         began = loop.time()
--- a/nickelmount/agent/request_validation.py
+++ b/nickelmount/agent/request_validation.py
@@ -5,12 +5,11 @@
 import re
 from collections.abc import Callable
 from dataclasses import dataclass
-from urllib.parse import parse_qs
-from zlib import crc32
 
-from nickelmount.balancer.interface import Effect, RequestClass, Tenant
+from nickelmount.balancer.settings import Idempotency, RequestClass, Tenant
+from nickelmount.errors import HttpError
 
-from .http import Headers, Message, Unreadable
+from .http import Headers, HttpMessage
 
 TIMEOUT_LIMIT_MS = 24 * 3600 * 1000
 # Those that go on to a backend.
@@ -32,7 +31,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class ClientRequest:
     """One request of the application, checked, and the way to answer it."""
 
     id: bytes
@@ -42,39 +41,40 @@
     body: bytes
     request_class: int
     tenant: int
-    patience_us: int
-    key: int
+    timeout_us: int
     cost_us: int
     is_retry: bool
-    respond: Callable[[Call, int, Headers, bytes], None]
+    respond: Callable[[ClientRequest, int, Headers, bytes], None]
     number: int = 0  # given by whoever takes it
     gone: Callable[[], bool] = lambda: False  # whether its client has left, be it unread so far
 
 
-class Checker:
+class RequestValidator:
     """Turns a request into a Call, or says what is wrong with it."""
 
     def __init__(self, classes: tuple[RequestClass, ...], tenants: tuple[Tenant, ...]) -> None:
-        self._classes = {c.name.encode(): (i, c.effect) for i, c in enumerate(classes)}
+        self._classes = {c.name.encode(): (i, c.idempotency) for i, c in enumerate(classes)}
         self._tenants = {t.name.encode(): i for i, t in enumerate(tenants)}
 
-    def check(self, request: Message, respond: Callable[[Call, int, Headers, bytes], None]) -> Call:
+    def check(
+        self, request: HttpMessage, respond: Callable[[ClientRequest, int, Headers, bytes], None]
+    ) -> ClientRequest:
         fields = request.fields
         if b"host" not in fields:
-            raise Unreadable(400, "Host is missing")
+            raise HttpError(400, "Host is missing")
         if not DECISIVE.isdisjoint(request.repeated):
-            raise Unreadable(400, "a header is there twice")
+            raise HttpError(400, "a header is there twice")
         index, effect = self._class(fields)
-        if request.method != (b"GET" if effect is Effect.SAFE else b"POST"):
-            raise Unreadable(400, "method does not fit the class")
+        if request.method != (b"GET" if effect is Idempotency.ALWAYS else b"POST"):
+            raise HttpError(400, "method does not fit the class")
         number = fields.get(b"request-id", b"")
         if not _NAME.fullmatch(number):
-            raise Unreadable(400, "Request-Id is missing or malformed")
+            raise HttpError(400, "Request-Id is missing or malformed")
         # Without its key no backend could tell a repeat from a new request.
         key = fields.get(b"idempotency-key")
-        if not _NAME.fullmatch(key or b"") if effect is Effect.KEYED else key is not None:
-            raise Unreadable(400, "Idempotency-Key does not fit the class")
-        return Call(
+        if not _NAME.fullmatch(key or b"") if effect is Idempotency.WITH_KEY else key is not None:
+            raise HttpError(400, "Idempotency-Key does not fit the class")
+        return ClientRequest(
             number,
             request.method,
             request.target,
@@ -83,16 +83,15 @@
             index,
             self._tenant(fields),
             _patience_us(fields),
-            _key(request.target),
             _number(fields.get(b"work-hint", b"")) or 0,
             fields.get(b"client-retry") == b"1",
             respond,
         )
 
-    def _class(self, fields: dict[bytes, bytes]) -> tuple[int, Effect]:
+    def _class(self, fields: dict[bytes, bytes]) -> tuple[int, Idempotency]:
         found = self._classes.get(fields.get(b"request-class", b""))
         if found is None:
-            raise Unreadable(400, "unknown Request-Class")
+            raise HttpError(400, "unknown Request-Class")
         return found
 
     def _tenant(self, fields: dict[bytes, bytes]) -> int:
@@ -100,7 +99,7 @@
             return 0
         index = self._tenants.get(fields.get(b"tenant", b""))
         if index is None:
-            raise Unreadable(400, "unknown Tenant")
+            raise HttpError(400, "unknown Tenant")
         return index
 
 
@@ -111,11 +110,5 @@
 def _patience_us(fields: dict[bytes, bytes]) -> int:
     ms = _number(fields.get(b"request-timeout-ms", b""))
     if not ms or ms > TIMEOUT_LIMIT_MS:
-        raise Unreadable(400, "bad Request-Timeout-Ms")
+        raise HttpError(400, "bad Request-Timeout-Ms")
     return ms * 1000
-
-
-def _key(target: bytes) -> int:
-    """Equal objects give equal keys; 0 is none."""
-    obj = parse_qs(target.partition(b"?")[2]).get(b"obj")
-    return (crc32(obj[0]) or 1) if obj else 0
--- a/nickelmount/agent/upstream.py
+++ b/nickelmount/agent/upstream.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from nickelmount.balancer.interface import Backend, BackendId, Outcome, State
+from nickelmount.balancer.events import Endpoint, EndpointId, EndpointStatus, Outcome
 
 from .clock import Clock
-from .discovery import Listing, Member
-from .http import Message, request
-from .connection_pool import Pool, Pooled
+from .connection_pool import ConnectionPool, PooledConnection
+from .discovery import EndpointList, ListedEndpoint
+from .http import HttpMessage, request
 
 log = logging.getLogger(__name__)
 
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Result:
+class ExchangeResult:
     """How an exchange ended."""
 
     outcome: Outcome
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class UpstreamRequest:
     """What is to be sent to a backend."""
 
     method: bytes
@@ -59,13 +59,13 @@
     return report if all(0.0 <= x < 1e9 for x in report) else ()
 
 
-def _same_group(one: Member | None, other: Member | None) -> bool:
+def _same_group(one: ListedEndpoint | None, other: ListedEndpoint | None) -> bool:
     """Whether a repeat that the one may get may go to the other as well."""
     return (
         one is not None
         and other is not None
-        and one.backend.zone == other.backend.zone
-        and one.backend.cell == other.backend.cell
+        and one.endpoint.zone == other.endpoint.zone
+        and one.endpoint.cell == other.endpoint.cell
     )
 
 
@@ -74,21 +74,21 @@
 
     def __init__(
         self,
-        backends: Backends,
-        backend: BackendId,
-        ask: Ask,
+        backends: Upstream,
+        backend: EndpointId,
+        ask: UpstreamRequest,
         timeout_us: int,
-        done: Callable[[Result], None],
+        done: Callable[[ExchangeResult], None],
     ) -> None:
         self._backends, self._backend, self._ask, self._done = backends, backend, ask, done
         self._loop = asyncio.get_running_loop()
         self._began = backends.clock.now()
         self._until = self._write_until = self._began + timeout_us
         self._unwritten: asyncio.TimerHandle | None = None
-        self._chosen: Member | None = None  # as the list had it when it was chosen
-        self._connection: Pooled | None = None
+        self._chosen: ListedEndpoint | None = None  # as the list had it when it was chosen
+        self._connection: PooledConnection | None = None
         self._connecting: asyncio.Task[None] | None = None
-        self._answer: Message | None = None
+        self._answer: HttpMessage | None = None
         self.ended = False
         self._timer = self._loop.call_later(timeout_us / 1e6, self._timed_out)
 
@@ -127,7 +127,7 @@
         if not self._sent():
             self._end(Outcome.NOT_SENT)
 
-    async def _connect(self, member: Member) -> None:
+    async def _connect(self, member: ListedEndpoint) -> None:
         try:
             connection = await self._backends.pool.open(member)
         except OSError as e:  # a time-out is one too
@@ -139,14 +139,14 @@
         self._connecting = None
         self._write(connection)
 
-    def _write(self, connection: Pooled) -> None:
+    def _write(self, connection: PooledConnection) -> None:
         try:
             self._put(connection)
         except Exception:  # whatever it is, the attempt must end, or its request gets no answer
             log.exception("attempt failed")
             self._end(self._lost())
 
-    def _put(self, connection: Pooled) -> None:
+    def _put(self, connection: PooledConnection) -> None:
         # The list may have changed while the connection came up: nothing new goes to one that drains, nor a
         # repeat to one that has left its group.
         ready = self._backends.ready(self._backend)
@@ -166,7 +166,7 @@
 
     # What comes back
 
-    def on_answer(self, answer: Message) -> None:
+    def on_answer(self, answer: HttpMessage) -> None:
         self._answer = answer
         self._end(self._answered(answer))
 
@@ -177,7 +177,7 @@
     def on_end(self) -> None:
         self._end(self._lost())
 
-    def _answered(self, answer: Message) -> Outcome:
+    def _answered(self, answer: HttpMessage) -> Outcome:
         if answer.status == 200:
             return Outcome.OK
         if answer.status in (503, 504) and answer.fields.get(b"not-started") == b"1":
@@ -210,10 +210,10 @@
             )
         latency_us = self._backends.clock.now() - self._began
         if answer is None:
-            self._done(Result(outcome, latency_us))
+            self._done(ExchangeResult(outcome, latency_us))
         else:
             self._done(
-                Result(
+                ExchangeResult(
                     outcome,
                     latency_us,
                     self._report(answer),
@@ -222,23 +222,23 @@
                 )
             )
 
-    def _report(self, answer: Message) -> tuple[float, ...]:
-        fields = self._backends.report_fields
+    def _report(self, answer: HttpMessage) -> tuple[float, ...]:
+        fields = self._backends.load_report_fields
         told = parse_report(answer.header(b"server-load"), fields)
         if not told and self._ask.target == LOAD:
             told = parse_report(answer.body.decode("latin-1"), fields)
         return told
 
 
-class Backends:
+class Upstream:
     """The backends of the list."""
 
-    def __init__(self, clock: Clock, report_fields: tuple[str, ...], pool: Pool) -> None:
-        self.clock, self.report_fields, self.pool = clock, report_fields, pool
-        self._members: dict[BackendId, Member] = {}
-        self._probe = Ask(b"GET", LOAD if report_fields else b"/ping", [])
+    def __init__(self, clock: Clock, load_report_fields: tuple[str, ...], pool: ConnectionPool) -> None:
+        self.clock, self.load_report_fields, self.pool = clock, load_report_fields, pool
+        self._members: dict[EndpointId, ListedEndpoint] = {}
+        self._probe = UpstreamRequest(b"GET", LOAD if load_report_fields else b"/ping", [])
 
-    def told(self, listing: Listing) -> list[Backend]:
+    def told(self, listing: EndpointList) -> list[Endpoint]:
         """Take in what discovery says; return what that changes, in the module's form.
 
         Of a whole list too, which so costs the module no more than what has changed in it. A backend that it
@@ -246,30 +246,34 @@
         """
         changed = []
         for member in listing.members:
-            backend = member.backend
+            backend = member.endpoint
             old = self._members.get(backend.id)
             if old == member:
                 continue
             changed.append(backend)
-            if backend.state is State.GONE:
+            if backend.status is EndpointStatus.REMOVED:
                 self._members.pop(backend.id, None)
             else:
                 self._members[backend.id] = member
-            if old is not None and not (old.same_process(member) and backend.state is State.READY):
+            if old is not None and not (old.same_process(member) and backend.status is EndpointStatus.READY):
                 self.pool.forget(backend.id)
         if listing.complete:
-            named = {m.backend.id for m in listing.members}
+            named = {m.endpoint.id for m in listing.members}
             for gone in [i for i in self._members if i not in named]:
-                changed.append(replace(self._members.pop(gone).backend, state=State.GONE))
+                changed.append(replace(self._members.pop(gone).endpoint, status=EndpointStatus.REMOVED))
                 self.pool.forget(gone)
         return changed
 
-    def ready(self, backend: BackendId) -> Member | None:
+    def ready(self, backend: EndpointId) -> ListedEndpoint | None:
         member = self._members.get(backend)
-        return member if member is not None and member.backend.state is State.READY else None
+        return member if member is not None and member.endpoint.status is EndpointStatus.READY else None
 
     def exchange(
-        self, backend: BackendId, ask: Ask, timeout_us: int, done: Callable[[Result], None]
+        self,
+        backend: EndpointId,
+        ask: UpstreamRequest,
+        timeout_us: int,
+        done: Callable[[ExchangeResult], None],
     ) -> Exchange:
         exchange = Exchange(self, backend, ask, timeout_us, done)
         try:
@@ -279,5 +283,5 @@
             exchange.end_unsent()
         return exchange
 
-    def probe(self, backend: BackendId, done: Callable[[Result], None]) -> None:
+    def probe(self, backend: EndpointId, done: Callable[[ExchangeResult], None]) -> None:
         self.exchange(backend, self._probe, PROBE_US, done)
--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -18,38 +18,36 @@
 from typing import Any
 from zlib import crc32
 
-from .interface import (
-    NEVER_RAN,
+from .actions import (
     Action,
+    CancelAttempt,
+    FailRequest,
+    LogMessage,
+    RejectRequest,
+    SendAttempt,
+    SendGossip,
+    SendProbe,
+    SetTimer,
+    WatchEndpoints,
+)
+from .events import (
+    NEVER_RAN,
     AttemptEnded,
-    Backend,
-    BackendId,
-    BackendsChanged,
-    Cancel,
-    ClientGone,
-    Discovery,
-    Effect,
+    ClientDisconnected,
+    Endpoint,
+    EndpointId,
+    EndpointsChanged,
+    EndpointStatus,
     Event,
-    Fail,
-    Group,
-    ListKind,
-    Log,
+    GossipReceived,
+    ListUpdateKind,
     Outcome,
-    PeerMessage,
-    Probe,
     ProbeEnded,
-    Refuse,
     RequestArrived,
-    RequestClass,
-    Send,
-    SetTimer,
-    Settings,
-    State,
-    StreamStarted,
-    Tell,
+    ResponseStarted,
     TimerFired,
-    Watch,
 )
+from .settings import DedupScope, DiscoveryMode, Idempotency, RequestClass, Settings, require
 
 MS, SECOND = 1_000, 1_000_000
 QUERIES = 8  # k of the Quantile process
@@ -100,8 +98,8 @@
         "zone",
         "cell",
         "hint",
-        "state",
-        "started_at",
+        "status",
+        "started_at_us",
         "open",
         "residue",
         "residue_at",
@@ -130,7 +128,7 @@
         "warming_from",
     )
 
-    def __init__(self, b: Backend, now: int, turn: float) -> None:
+    def __init__(self, b: Endpoint, now: int, turn: float) -> None:
         self.id, self.turn = b.id, turn
         self.ready = False  # whether it is among those that may be sampled
         self.warming_from = 0  # the start by which it is among those that warm up; 0: it is not
@@ -141,9 +139,9 @@
         self.adopt(b)
         self.reset(now)
 
-    def adopt(self, b: Backend) -> None:
-        self.zone, self.cell, self.state = b.zone, b.cell, b.state
-        self.hint, self.started_at = max(b.capacity_hint, 1e-6), b.started_at
+    def adopt(self, b: Endpoint) -> None:
+        self.zone, self.cell, self.status = b.zone, b.cell, b.status
+        self.hint, self.started_at_us = max(b.capacity_hint, 1e-6), b.started_at_us
 
     def own(self, now: int) -> float:
         """Own attempts out, and what is left of the weight of those that ended badly."""
@@ -186,8 +184,10 @@
     def __init__(
         self, e: RequestArrived, cls: RequestClass, now: int, luck: float, spare: float, size: float
     ) -> None:
-        self.id, self.cls, self.deadline = e.request, cls, now + e.patience_us
-        self.aim_at = min(now + cls.aim_us + int(cls.aim_stretch * e.cost_us), self.deadline)
+        self.id, self.cls, self.deadline = e.request_id, cls, now + e.timeout_us
+        self.aim_at = min(
+            now + cls.latency_objective_us + int(cls.objective_stretch * e.cost_us), self.deadline
+        )
         self.gives_way = self.done = False
         self.spare = spare  # another: whether it has the pass to idle servers
         self.luck = luck  # one for its whole life: a held request must not draw until a cold server takes it
@@ -205,8 +205,8 @@
         c = self.cls
         return (
             not self.may_have_run
-            or c.effect is Effect.SAFE
-            or (c.effect is Effect.KEYED and c.group is Group.ALL)
+            or c.idempotency is Idempotency.ALWAYS
+            or (c.idempotency is Idempotency.WITH_KEY and c.dedup_scope is DedupScope.ALL)
         )
 
 
@@ -235,10 +235,10 @@
     """What each server holds, by its reports and this balancer's own count, and how fast it works it off."""
 
     def __init__(self, settings: Settings) -> None:
-        fields = settings.report_fields
+        fields = settings.load_report_fields
         self.column = next((fields.index(f) for f in LOADS if f in fields), -1)
         self.service_column = fields.index("latency_ms") if "latency_ms" in fields else -1
-        self.hinted = settings.capacity_hints
+        self.hinted = settings.has_capacity_hints
         self.cuts: list[float] = []
         self.mean, self.mean_hint = 0.0, 1.0  # of the table: loads heard of, capacity hints
         self.mid_service = 0.0  # and the median reported service time
@@ -312,17 +312,17 @@
         if e.outcome is Outcome.NOT_SENT:
             return  # nothing of it came to the server, and nothing of it stays there
         s.ended_at = now
-        if self.column >= 0 and len(e.report) > self.column:
+        if self.column >= 0 and len(e.load_report) > self.column:
             # The report holds our own attempts too: what remains after them is the others' share.
-            others = e.report[self.column] - len(s.open) - 1
+            others = e.load_report[self.column] - len(s.open) - 1
             gain = 1.0 if not s.heard_at else max(GAIN, min(1.0, (now - s.heard_at) / FRESH_US))
             s.others += gain * (others - s.others)
             s.heard_at = s.news_at = now
             # The load at sending may be an old guess: a jam that grew unseen made every server look slow, and
             # all was refused that could be served (bajio, crash).
-            load_at_send = max(load_at_send, e.report[self.column])
-        if 0 <= self.service_column < len(e.report):
-            self.works(s, e.report[self.service_column])
+            load_at_send = max(load_at_send, e.load_report[self.column])
+        if 0 <= self.service_column < len(e.load_report):
+            self.works(s, e.load_report[self.service_column])
         if e.outcome is Outcome.OK or (e.outcome is Outcome.TIMEOUT and e.latency_us > self.typical):
             gain = max(GAIN, 1 / (s.samples + 1))
             s.latency += gain * (e.latency_us - s.latency)
@@ -404,12 +404,12 @@
     """
 
     def __init__(self, settings: Settings) -> None:
-        self.start, self.warm_up = settings.start_fraction, max(1, settings.warm_up_us)
-        self.scale = min(1.0, settings.fall_multiple / COLD_MARGIN)
-        self.multiple, self.window = settings.fall_multiple, settings.fall_window_us
-        self.told = any(f in settings.report_fields for f in LOADS)
+        self.start, self.warm_up = settings.warm_up_start_capacity, max(1, settings.warm_up_us)
+        self.scale = min(1.0, settings.overload_multiple / COLD_MARGIN)
+        self.multiple, self.window = settings.overload_multiple, settings.overload_window_us
+        self.told = any(f in settings.load_report_fields for f in LOADS)
         self.served = 1.0  # share of the latest requests that were served
-        self.drawers = float(settings.siblings)  # balancers that draw the same server
+        self.drawers = float(settings.instance_count)  # balancers that draw the same server
         self.drawn, self.drawn_at, self.often = 0.0, 0, 0.0
         self.fit = 1.0  # share of the latest draws that fitted
         self.capacity = 0.0  # of all servers, in warm ones
@@ -426,13 +426,13 @@
 
     def warmth(self, s: Server, now: int) -> float:
         """Share of its capacity a server surely has: the slowest ramp the settings allow."""
-        age = now - s.started_at
-        if not s.started_at or age >= self.warm_up:
+        age = now - s.started_at_us
+        if not s.started_at_us or age >= self.warm_up:
             return 1.0
         return self.start + (1.0 - self.start) * max(0, age) / self.warm_up
 
     def admits(self, s: Server, now: int, luck: float, known: bool, table: LoadTable, rng: Random) -> bool:
-        if not s.started_at:
+        if not s.started_at_us:
             return True
         warmth = self.warmth(s, now)
         # Its part of what is served, not of what is asked for, and no more because few others fit: retries of
@@ -481,7 +481,7 @@
     """
 
     def __init__(self, settings: Settings) -> None:
-        self.start, self.warm_up = settings.start_fraction, max(1, settings.warm_up_us)
+        self.start, self.warm_up = settings.warm_up_start_capacity, max(1, settings.warm_up_us)
         self.starts: list[tuple[int, Server]] = []  # by start
         self.total = 0  # of all starts
 
@@ -495,21 +495,21 @@
             s.warming_from = 0
             if s.ready and self._cold(s, now):
                 self._entered(s)
-                self.starts.append((s.started_at, s))
+                self.starts.append((s.started_at_us, s))
         self.starts.sort(key=_start)
 
     def put(self, s: Server, now: int) -> None:
         """Take a ready one in, unless its start is long past."""
         if self._cold(s, now):
             self._entered(s)
-            insort(self.starts, (s.started_at, s), key=_start)
+            insort(self.starts, (s.started_at_us, s), key=_start)
 
     def _cold(self, s: Server, now: int) -> bool:
-        return s.started_at != 0 and now - s.started_at < self.warm_up
+        return s.started_at_us != 0 and now - s.started_at_us < self.warm_up
 
     def _entered(self, s: Server) -> None:
-        s.warming_from = s.started_at
-        self.total += s.started_at
+        s.warming_from = s.started_at_us
+        self.total += s.started_at_us
 
     def drop(self, s: Server) -> None:
         if s.warming_from:
@@ -544,7 +544,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self.quotas = [t.quota_per_s / SECOND for t in settings.tenants]
-        self.part = 1.0 / settings.siblings
+        self.part = 1.0 / settings.instance_count
         self.buckets = [(1.0, 0)] * len(self.quotas)
 
     def learn(self, own: int, others: float) -> None:
@@ -561,7 +561,14 @@
         return level < 1.0
 
 
-def _name(backend: BackendId) -> str:
+def _check_request(settings: Settings, e: RequestArrived, known: bool) -> None:
+    """Name what makes no sense in a request, before anything is done for it."""
+    require(0 <= e.request_class < len(settings.classes), "request_class", f"no class {e.request_class}")
+    require(0 <= e.tenant < max(1, len(settings.tenants)), "tenant", f"no tenant {e.tenant}")
+    require(not known, "request", f"{e.request_id} is held already")
+
+
+def _name(backend: EndpointId) -> str:
     return backend.hex() if isinstance(backend, bytes) else str(backend)
 
 
@@ -573,9 +580,9 @@
         self.rng = Random(seed)
         self.now = 0
         self.actions: list[Action] = []
-        self.servers: dict[BackendId, Server] = {}
+        self.servers: dict[EndpointId, Server] = {}
         self.ready: list[Server] = []  # all that the list says are, by their turn
-        self.leaving: dict[BackendId, Server] = {}  # gone, but perhaps with attempts or askers out
+        self.leaving: dict[EndpointId, Server] = {}  # gone, but perhaps with attempts or askers out
         self.known = 0  # servers that have ever been named
         self.sampled: list[Server] = []  # those among which it draws
         self.capacity = 0.0  # of all that are ready, in warm ones
@@ -586,15 +593,15 @@
         # after each failure, kept it busy with calls already given up, and none was answered.
         # But who has not asked in time counts as told: of 200, one waited 19 s for its first call and sent to
         # servers that drained for as long. And a list that is at hand needs no spreading.
-        each = 0 if settings.lists_at_hand else settings.siblings * WATCH_EACH_US
-        within = settings.ask_within_us
+        each = 0 if settings.discovery_is_local else settings.instance_count * WATCH_EACH_US
+        within = settings.notified_after_us
         # It counts as told, too, so long after discovery can be reached again: a call that began just before
         # and fails, the longest wait, and the next call with its answer must fit in.
-        longest = int((within - 2 * settings.list_call_us) / WATCH_DRAW[1])
+        longest = int((within - 2 * settings.list_call_timeout_us) / WATCH_DRAW[1])
         self.watch_spread = min(each - WATCH_QUEUE * WATCH_EACH_US, within // 2)
         self.watch_first = min(longest, max(WATCH_FIRST_US, min(each, within) // 2))
         self.watch_most = min(longest, max(WATCH_MAX_US, min(2 * each, within)))
-        if settings.lists_at_hand:
+        if settings.discovery_is_local:
             # What is at hand counts as told though no watch is open: the next call must come well within the
             # grace for drains, however often it has failed.
             soon = max(10 * MS, settings.drain_grace_us // 4)
@@ -605,16 +612,19 @@
         self.cold, self.warming = ColdBudget(settings), Warming(settings)
         self.shares = TenantShares(settings)
         self.bearable = {
-            c.name: min(d.aim_us for d in settings.classes if d.worth >= c.worth) for c in settings.classes
+            c.name: min(
+                d.latency_objective_us for d in settings.classes if d.priority_weight >= c.priority_weight
+            )
+            for c in settings.classes
         }
-        self.idle = IDLE / settings.siblings
+        self.idle = IDLE / settings.instance_count
         # Asking both samples of each request must be cheap, and there must be something to learn by it.
         self.asks = settings.can_probe and self.table.column >= 0 and 2 * settings.prices.probe <= PROBE_SPEND
-        self.ask_us = int(ASK_SHARE * min(c.aim_us for c in settings.classes))
-        price, self.tells = settings.prices.peer, 0  # peers told of each report
-        if settings.can_tell and self.table.column >= 0:
+        self.ask_us = int(ASK_SHARE * min(c.latency_objective_us for c in settings.classes))
+        price, self.tells = settings.prices.gossip, 0  # peers told of each report
+        if settings.can_gossip and self.table.column >= 0:
             bought = int(PEER_SPEND * 256 / (price * NOTE.size)) if price else PEERS_MOST
-            self.tells = min(settings.siblings - 1, PEERS_MOST, bought)
+            self.tells = min(settings.instance_count - 1, PEERS_MOST, bought)
         # So young an entry is known, and no free pass is needed to learn of it.
         self.known_us = self.ask_us if self.asks else FORGET_US if self.tells else -1
         self.tags: dict[int, Server] = {}
@@ -623,8 +633,8 @@
         self.waiting: set[int] = set()  # requests held because all servers are busy
         self.out = 0  # attempts without an end
         self.tries, self.tries_at = 0.0, 0  # first tries of late, each fading
-        self.first_aim_us = min(c.aim_us for c in settings.classes)
-        self.worthiest = max(c.worth for c in settings.classes)
+        self.first_aim_us = min(c.latency_objective_us for c in settings.classes)
+        self.worthiest = max(c.priority_weight for c in settings.classes)
         self.sent_at: dict[str, int] = {}  # when the latest request of each class was sent
         self.budget = RETRY_BURST
         self.due: list[tuple[int, int, Callable[[Any], None], Any]] = []
@@ -634,14 +644,14 @@
         # the answer is given in the round after.
         self.margin = max(0, 2 * settings.tick_us - settings.answer_slack_us // 2)
         self.handlers: dict[type, Callable[[Any], None]] = {
-            BackendsChanged: self._backends,
+            EndpointsChanged: self._backends,
             RequestArrived: self._arrived,
             AttemptEnded: self._ended,
-            StreamStarted: self._streaming,
-            ClientGone: self._gone,
+            ResponseStarted: self._streaming,
+            ClientDisconnected: self._gone,
             TimerFired: self._timer,
             ProbeEnded: self._probed,
-            PeerMessage: self._told,
+            GossipReceived: self._told,
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
@@ -654,35 +664,35 @@
         return self.actions
 
     def _log(self, text: str) -> None:
-        self.actions.append(Log(text))
+        self.actions.append(LogMessage(text))
 
     # Membership
 
-    def _backends(self, e: BackendsChanged) -> None:
+    def _backends(self, e: EndpointsChanged) -> None:
         now = self.now
-        if e.kind is ListKind.FAILED:
+        if e.kind is ListUpdateKind.FAILED:
             self.watching = False
             self._later(now + int(self.watch_wait * self.rng.uniform(*WATCH_DRAW)), self._watch, None)
             self.watch_wait = min(2 * self.watch_wait, self.watch_most)
             return
-        if e.kind is not ListKind.CACHED:
+        if e.kind is not ListUpdateKind.CACHED:
             self.watch_wait = self.watch_first
-        named = [self._named(b) for b in e.backends]
-        if e.kind is ListKind.DELTA:
+        named = [self._named(b) for b in e.endpoints]
+        if e.kind is ListUpdateKind.DELTA:
             for s in named:
                 self._moved(s)
         else:
             for gone in self.servers.keys() - {s.id for s in named}:
-                self.servers[gone].state = State.GONE
+                self.servers[gone].status = EndpointStatus.REMOVED
             self._sort_out()
         self._forget()
         self._choose()
-        if self.settings.discovery is Discovery.ASK and not self.watching:
-            if e.kind is ListKind.CACHED and self.watch_spread > 0:
+        if self.settings.discovery_mode is DiscoveryMode.POLL and not self.watching:
+            if e.kind is ListUpdateKind.CACHED and self.watch_spread > 0:
                 return self._later(now + int(self.watch_spread * self.rng.random()), self._watch, None)
             self._watch(None)
 
-    def _named(self, b: Backend) -> Server:
+    def _named(self, b: Endpoint) -> Server:
         s = self.servers.get(b.id)
         if s is None:
             self.known += 1
@@ -690,7 +700,7 @@
             s = Server(b, self.now, float(self.known) if self._hears_all() else turn)
             self.servers[b.id] = self.tags[crc32(_name(b.id).encode())] = s
         else:
-            if b.started_at != s.started_at:
+            if b.started_at_us != s.started_at_us:
                 s.reset(self.now)  # a new process under the same id
             s.adopt(b)
         return s
@@ -698,7 +708,7 @@
     def _moved(self, s: Server) -> None:
         """Put a server where its state belongs. A change costs what has changed: passes over a list of 6,300
         took 3 ms each, and met more than one call in a hundred."""
-        ready = s.state is State.READY
+        ready = s.status is EndpointStatus.READY
         if ready and not s.ready:
             insort(self.ready, s, key=_turn)
         elif s.ready and not ready:
@@ -707,7 +717,7 @@
         self.warming.drop(s)
         if ready:
             self.warming.put(s, self.now)
-        if s.state is State.GONE:
+        if s.status is EndpointStatus.REMOVED:
             self.leaving[s.id] = s
         else:
             self.leaving.pop(s.id, None)
@@ -715,9 +725,9 @@
     def _sort_out(self) -> None:
         """The same for all at once, after a whole list."""
         for s in self.servers.values():
-            s.ready = s.state is State.READY
+            s.ready = s.status is EndpointStatus.READY
         self.ready = sorted((s for s in self.servers.values() if s.ready), key=_turn)
-        self.leaving = {s.id: s for s in self.servers.values() if s.state is State.GONE}
+        self.leaving = {s.id: s for s in self.servers.values() if s.status is EndpointStatus.REMOVED}
         self.warming.fill(self.servers.values(), self.now)
 
     def _choose(self) -> None:
@@ -743,7 +753,7 @@
         gone = exp((self.most_at - now) / max(SECOND, self.settings.warm_up_us))
         self.most, self.most_at = max(self.capacity, self.capacity + (self.most - self.capacity) * gone), now
         self.rarity = max(1, len(self.ready)) / max(1, len(self.sampled))
-        self.cold.drawers = self.settings.siblings / self.rarity
+        self.cold.drawers = self.settings.instance_count / self.rarity
         if self.sampled != before:
             self.picks_left = 0
 
@@ -766,18 +776,18 @@
     def _watch(self, _: None) -> None:
         if not self.watching:
             self.watching = True
-            self.actions.append(Watch())
+            self.actions.append(WatchEndpoints())
 
     # Admission
 
     def _arrived(self, e: RequestArrived) -> None:
         now = self.now
-        self.settings.check(e, e.request in self.requests)
+        _check_request(self.settings, e, e.request_id in self.requests)
         size = self.table.size_of(e.cost_us)
         r = Request(
             e, self.settings.classes[e.request_class], now, self.rng.random(), self.rng.random(), size
         )
-        self.requests[e.request] = r
+        self.requests[e.request_id] = r
         self.budget = min(RETRY_BURST, self.budget + RETRY_SHARE)
         if not e.is_retry:
             self.tries = self.tries * exp((self.tries_at - now) / OFTEN_US) + 1.0
@@ -816,7 +826,7 @@
         # less by what has gone of the capacity: the traffic stays.
         # And less as servers hold more than they bear in the mean: in a burst all come with more at once.
         part = max(
-            CROWD * self.capacity / self.settings.siblings,
+            CROWD * self.capacity / self.settings.instance_count,
             self.tries
             / OFTEN_US
             * HEADROOM
@@ -826,7 +836,9 @@
         )
         # The class that is worth most goes first, and one of which none was sent for long: alone, the first
         # kept what is out above the part of the others, and each place that came free was its own.
-        first = r.cls.worth >= self.worthiest or self.now - self.sent_at.get(r.cls.name, 0) > OFTEN_US
+        first = (
+            r.cls.priority_weight >= self.worthiest or self.now - self.sent_at.get(r.cls.name, 0) > OFTEN_US
+        )
         # A burst may use the room that servers have in the mean. A floor of what one server bears was no
         # bound where there are more balancers than servers.
         return max(CROWD - self.table.mean, part * (WORTHY if first else 1.0))
@@ -837,7 +849,7 @@
 
     def _can_wait(self, r: Request) -> bool:
         """Whether a place that frees up soon still serves it: one turned away comes back after its aim."""
-        most = max(1.0, WAITING * len(self.ready) / self.settings.siblings)
+        most = max(1.0, WAITING * len(self.ready) / self.settings.instance_count)
         typical = self.table.typical
         return (
             typical > 0
@@ -854,7 +866,7 @@
 
     def _left(self, r: Request) -> int:
         """Time in which an answer is still worth something, and can be given."""
-        return (r.deadline if r.cls.late_worth else r.aim_at) - self.now - self.margin
+        return (r.deadline if r.cls.late_weight else r.aim_at) - self.now - self.margin
 
     def _held(self, r: Request) -> None:
         if not r.done and not r.out and r.pair is None:
@@ -874,7 +886,7 @@
         for s in r.silent:
             if not s.asked_at or now - s.asked_at > bound:
                 s.asked_at = now
-                self.actions.append(Probe(s.id))
+                self.actions.append(SendProbe(s.id))
             s.askers.append(r)
         r.pairs += 1
         self._later(now + min(bound, self._left(r)), self._unanswered, (r, r.pairs))
@@ -886,13 +898,13 @@
 
     def _probed(self, e: ProbeEnded) -> None:
         """An echo tells the load only: that a process answers beside its queue is no proof that it works."""
-        s = self.servers.get(e.backend)
+        s = self.servers.get(e.endpoint_id)
         if s is None:
             return
         s.asked_at, askers, s.askers = 0, s.askers, []
-        heard = e.outcome is Outcome.OK and 0 <= self.table.column < len(e.report)
+        heard = e.outcome is Outcome.OK and 0 <= self.table.column < len(e.load_report)
         if heard:
-            self.table.holds(self.now, s, e.report[self.table.column])
+            self.table.holds(self.now, s, e.load_report[self.table.column])
         for r in askers:
             if r.pair is not None and not r.done and s in r.silent:
                 if heard:
@@ -907,10 +919,10 @@
         numbers = (max(0, min(0xFFFF, round(x))) for x in (held, s.service))
         note = NOTE.pack(crc32(_name(s.id).encode()), *numbers)
         for _ in range(round(self.tells * min(1.0, self.table.mean / 2))):
-            peer = int(self.rng.random() * (self.settings.siblings - 1))
-            self.actions.append(Tell(peer + (peer >= self.settings.me), note))
+            peer = int(self.rng.random() * (self.settings.instance_count - 1))
+            self.actions.append(SendGossip(peer + (peer >= self.settings.instance_index), note))
 
-    def _told(self, e: PeerMessage) -> None:
+    def _told(self, e: GossipReceived) -> None:
         """What peers say may be lost, late or wrong: it sets entries of the load table and nothing else."""
         if len(e.payload) == NOTE.size:
             tag, held, service_ms = NOTE.unpack(e.payload)
@@ -937,26 +949,26 @@
     # Sampling set and band choice
 
     def _pool(self, r: Request) -> list[Server]:
-        if not r.may_have_run or r.cls.effect is Effect.SAFE:
+        if not r.may_have_run or r.cls.idempotency is Idempotency.ALWAYS:
             return self.sampled
         return [s for s in self.sampled if self._may_go(r, s)]
 
     def _may_go(self, r: Request, s: Server) -> bool:
         """Rules 2 and 3: asked again when an echo is in, for lists and windows change while it is awaited."""
-        if s.state is not State.READY:
+        if s.status is not EndpointStatus.READY:
             return False
-        if not r.may_have_run or r.cls.effect is Effect.SAFE:
+        if not r.may_have_run or r.cls.idempotency is Idempotency.ALWAYS:
             return True
         _, first, _ = r.may_have_run[0]
-        if r.cls.effect is Effect.UNSAFE or self._window_left(r) <= 0:
+        if r.cls.idempotency is Idempotency.NEVER or self._window_left(r) <= 0:
             return False
-        return r.cls.group is Group.ALL or (
-            s.zone == first.zone if r.cls.group is Group.ZONE else s.cell == first.cell
+        return r.cls.dedup_scope is DedupScope.ALL or (
+            s.zone == first.zone if r.cls.dedup_scope is DedupScope.ZONE else s.cell == first.cell
         )
 
     def _window_left(self, r: Request) -> int:
         """How long a repeat of what may have run is still dropped by the others of its group."""
-        return r.may_have_run[0][2] + r.cls.window_us - 2 * self.settings.tick_us - self.now
+        return r.may_have_run[0][2] + r.cls.dedup_window_us - 2 * self.settings.tick_us - self.now
 
     def _admits(self, r: Request, s: Server) -> bool:
         # Where peers tell every answer, a server of which nothing is heard hangs: balancers that each found
@@ -1024,7 +1036,7 @@
             # Known, not guessed: no pass here, but one that holds nothing is fit.
             held = s.own(self.now) + self.table.others(s, self.now)
             # Nor is it refused for what comes after the aim but keeps part of its worth.
-            late = 0.0 if r.gives_way else r.cls.late_worth * (r.deadline - r.aim_at)
+            late = 0.0 if r.gives_way else r.cls.late_weight * (r.deadline - r.aim_at)
             return workable if held < 1.0 else (held + r.size) * s.pace <= limit + HEADROOM * late
         # A quiet balancer knows too little to refuse by a guess: a server that holds next to nothing of ours
         # may be tried. The pass is shared over the balancers, or they keep a jam up; failed attempts count as
@@ -1057,7 +1069,7 @@
         now, attempt = self.now, r.sends
         self.sent_at[r.cls.name] = now
         r.sends += 1
-        bounded = r.may_have_run and r.cls.effect is Effect.KEYED
+        bounded = r.may_have_run and r.cls.idempotency is Idempotency.WITH_KEY
         write_within_us = max(1, self._window_left(r)) if bounded else 0
         r.out[attempt] = (s, now, load)
         r.may_have_run.append((attempt, s, now))
@@ -1065,8 +1077,8 @@
         s.open[(r.id, attempt)] = now
         self.out += 1
         timeout_us = max(1, r.deadline - now - self.margin)
-        self.actions.append(Send(r.id, s.id, timeout_us, attempt, write_within_us))
-        if r.cls.effect is not Effect.UNSAFE and self.table.typical and self.settings.second_copies:
+        self.actions.append(SendAttempt(r.id, s.id, timeout_us, attempt, write_within_us))
+        if r.cls.idempotency is not Idempotency.NEVER and self.table.typical and self.settings.can_hedge:
             at = now + int(3 * self.table.typical)
             if at + self.table.typical < r.aim_at:
                 self._later(at, self._overdue, (r, attempt))
@@ -1087,15 +1099,15 @@
             self._send(r, server, load)
 
     def _ended(self, e: AttemptEnded) -> None:
-        now, r = self.now, self.requests.get(e.request)
+        now, r = self.now, self.requests.get(e.request_id)
         if r is None or e.attempt not in r.out:
             return
         s, sent, load = r.out.pop(e.attempt)
         s.open.pop((r.id, e.attempt), None)
         self.out -= 1
         self.table.ended(now, s, e, load)
-        if self.tells and e.outcome is Outcome.OK and len(e.report) > self.table.column:
-            self._tell(s, e.report[self.table.column] - 1)
+        if self.tells and e.outcome is Outcome.OK and len(e.load_report) > self.table.column:
+            self._tell(s, e.load_report[self.table.column] - 1)
         # A time-out or a break tells against a server only if it has answered nothing since: else it is late,
         # or the connection broke and not the process.
         if e.outcome not in (Outcome.TIMEOUT, Outcome.RESET) or s.answered_at <= sent:
@@ -1119,14 +1131,14 @@
                 self.budget -= 1.0
             self._advance(r)
 
-    def _streaming(self, e: StreamStarted) -> None:
-        r = self.requests.get(e.request)
+    def _streaming(self, e: ResponseStarted) -> None:
+        r = self.requests.get(e.request_id)
         if r is not None and e.attempt in r.out:
             r.done = True
             self._cancel(r, but=e.attempt)
 
-    def _gone(self, e: ClientGone) -> None:
-        r = self.requests.get(e.request)
+    def _gone(self, e: ClientDisconnected) -> None:
+        r = self.requests.get(e.request_id)
         if r is not None and not r.done:
             r.done = True
             self._drop(r)
@@ -1136,10 +1148,10 @@
         r.done = True
         self.cold.ended(served=False)
         if r.may_refuse():
-            advice = int(2 * self.table.typical) if self.settings.retry_after else 0
-            self.actions.append(Refuse(r.id, min(advice, self.settings.max_retry_after_us)))
+            advice = int(2 * self.table.typical) if self.settings.can_send_retry_after else 0
+            self.actions.append(RejectRequest(r.id, min(advice, self.settings.max_retry_after_us)))
         else:
-            self.actions.append(Fail(r.id))
+            self.actions.append(FailRequest(r.id))
         self._drop(r)
 
     def _drop(self, r: Request) -> None:
@@ -1150,7 +1162,7 @@
 
     def _cancel(self, r: Request, but: int = -1) -> None:
         if self.settings.can_cancel:
-            self.actions.extend(Cancel(r.id, a) for a in r.out if a != but)
+            self.actions.extend(CancelAttempt(r.id, a) for a in r.out if a != but)
 
     # Timers
 
--- a/nickelmount/fleet/__main__.py
+++ b/nickelmount/fleet/__main__.py
@@ -12,9 +12,9 @@
 import click
 
 from .experiment import Experiment, ExperimentError, read
-from .runner import Play, PlayError
-from .role_process import Role, RoleError
 from .results import by_size, gathered, results, table, write
+from .role_process import Role, RoleError
+from .runner import Play, PlayError
 
 INTERRUPTED = 130  # as a shell has it after SIGINT
 
--- a/nickelmount/fleet/emulated_discovery.py
+++ b/nickelmount/fleet/emulated_discovery.py
@@ -18,7 +18,8 @@
 
 from nickelmount.agent.connection import Connection
 from nickelmount.agent.discovery import PATH
-from nickelmount.agent.http import Message, Reader, Unreadable, answer
+from nickelmount.agent.http import HttpMessage, HttpReader, answer
+from nickelmount.errors import HttpError
 
 from .catalog import Catalog, Phase, Where, generate, pick
 from .role import Command, run, serve, usage
@@ -62,7 +63,7 @@
     def __init__(self, host: Standin) -> None:
         super().__init__()
         self._host = host
-        self._reader = Reader(HttpRequestParser, 0)
+        self._reader = HttpReader(HttpRequestParser, 0)
         # Of the call in hand:
         self.held = False
         self.index: int | None = None  # None: asks for the whole list
@@ -333,16 +334,16 @@
 
     # Calls
 
-    def take(self, watcher: Watcher, request: Message | Unreadable) -> None:
+    def take(self, watcher: Watcher, request: HttpMessage | HttpError) -> None:
         self._arrived()
         if self._outage is not None:
             self.counts.failed += 1
             return
         try:
-            if isinstance(request, Unreadable):
+            if isinstance(request, HttpError):
                 raise request
             watcher.index, wait_ms = _asked(request)
-        except Unreadable as e:
+        except HttpError as e:
             return self._refuse(watcher, e.status)
         watcher.held, watcher.keep_alive = True, request.keep_alive
         if wait_ms and watcher.index == self._catalog.revision:
@@ -429,19 +430,19 @@
         self._pump_soon()
 
 
-def _asked(request: Message) -> tuple[int | None, int]:
+def _asked(request: HttpMessage) -> tuple[int | None, int]:
     """The index and the wait in milliseconds of a watch; None and 0 of a call for the whole list."""
     path, mark, query = request.target.partition(b"?")
     if path != PATH.encode():
-        raise Unreadable(404, "no such path")
+        raise HttpError(404, "no such path")
     if request.method != b"GET":
-        raise Unreadable(400, "no such method")
+        raise HttpError(400, "no such method")
     if not mark:
         return None, 0
     pairs = [pair.partition(b"=")[::2] for pair in query.split(b"&")]
     fields = {name: int(value) for name, value in pairs if value.isdigit() and len(value) < 19}
     if len(pairs) != 2 or fields.keys() != {b"index", b"wait"} or fields[b"wait"] > WAIT_MOST_MS:
-        raise Unreadable(400, "neither a watch nor a call for the list")
+        raise HttpError(400, "neither a watch nor a call for the list")
     return fields[b"index"], fields[b"wait"]
 
 
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -16,13 +16,19 @@
 from random import Random
 from typing import Any
 
-from nickelmount.balancer.balancer import Balancer
 from nickelmount.agent.agent import Agent
-from nickelmount.agent.upstream import Backends
 from nickelmount.agent.clock import Clock
-from nickelmount.agent.config import Config, from_doc
-from nickelmount.agent.discovery import HAND_WAIT_MS, WAIT_MS, Discovery, Listing, ListingParser
-from nickelmount.agent.connection_pool import Pool
+from nickelmount.agent.config import Config, config_from
+from nickelmount.agent.connection_pool import ConnectionPool
+from nickelmount.agent.discovery import (
+    LOCAL_WAIT_MS,
+    WAIT_MS,
+    DiscoveryClient,
+    EndpointList,
+    EndpointListParser,
+)
+from nickelmount.agent.upstream import Upstream
+from nickelmount.balancer.balancer import Balancer
 
 from .role import run, serve, usage
 
@@ -30,14 +36,14 @@
 CONNECTIONS = 512  # that an agent may have to map servers; a hollow one opens none
 
 
-class SharedParser(ListingParser):
+class SharedParser(EndpointListParser):
     """Gives equal lists the same entries. Only the latest whole list and change are kept."""
 
-    def __init__(self, parser: ListingParser) -> None:
+    def __init__(self, parser: EndpointListParser) -> None:
         self._parser = parser
-        self._latest: dict[bool, tuple[Any, Listing]] = {}
+        self._latest: dict[bool, tuple[Any, EndpointList]] = {}
 
-    def parse(self, doc: Any) -> Listing:
+    def parse(self, doc: Any) -> EndpointList:
         kind = bool(doc.get("complete")) if isinstance(doc, dict) else False
         latest = self._latest.get(kind)
         if latest is None or latest[0] != doc:
@@ -45,7 +51,7 @@
         return latest[1]
 
 
-class NotedDiscovery(Discovery):
+class RecordingDiscoveryClient(DiscoveryClient):
     """Notes when each list had been taken in, by the module too."""
 
     def __init__(self, taken: list[tuple[int, int]], *arguments: Any) -> None:
@@ -54,8 +60,8 @@
         self.broken = 0  # calls that failed
         self._closed = False
 
-    def watch(self, told: Callable[[Listing | None], None]) -> None:
-        def noted(listing: Listing | None) -> None:
+    def watch(self, told: Callable[[EndpointList | None], None]) -> None:
+        def noted(listing: EndpointList | None) -> None:
             told(listing)
             if listing is None:
                 self.broken += 1
@@ -78,24 +84,24 @@
         self._config, self._clock, self.number = config, clock, number
         self._lives = 0
         self.taken: list[tuple[int, int]] = []  # over all its lives
-        self.discovery: NotedDiscovery | None = None
+        self.discovery: RecordingDiscoveryClient | None = None
 
     def start(self) -> None:
-        settings = replace(self._config.settings, me=self.number)
+        settings = replace(self._config.settings, instance_index=self.number)
         seed = self._config.seed + 7919 * self.number + self._lives
         self._lives += 1
-        config, hand = self._config, settings.lists_at_hand
-        self.discovery = NotedDiscovery(
+        config, hand = self._config, settings.discovery_is_local
+        self.discovery = RecordingDiscoveryClient(
             self.taken,
             config.discovery,
             config.parser,
             config.known.revision,
             config.connect_timeout_us / 1e6,
-            HAND_WAIT_MS if hand else WAIT_MS,
+            LOCAL_WAIT_MS if hand else WAIT_MS,
             None if hand else Random(seed),
         )
-        pool = Pool(self._clock, config.connect_timeout_us, config.conn_idle_us, CONNECTIONS)
-        backends = Backends(self._clock, settings.report_fields, pool)
+        pool = ConnectionPool(self._clock, config.connect_timeout_us, config.conn_idle_us, CONNECTIONS)
+        backends = Upstream(self._clock, settings.load_report_fields, pool)
         self.agent = Agent(Balancer(settings, seed), self._clock, backends, self.discovery)
         self.agent.start(config.known)
 
@@ -119,7 +125,7 @@
         gc.collect()
         before = usage()
         clock = Clock()
-        made = from_doc(config, {}, clock)
+        made = config_from(config, {}, clock)
         if shared:
             made = replace(made, parser=SharedParser(made.parser))
         for i, number in enumerate(numbers):
--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -15,26 +15,25 @@
 from random import Random
 from typing import Any
 
-from nickelmount.balancer.interface import (
-    Action,
+from nickelmount.agent.clock import Clock
+from nickelmount.agent.config import config_from
+from nickelmount.agent.connection_pool import ConnectionPool
+from nickelmount.agent.upstream import Upstream
+from nickelmount.balancer.actions import Action, SendAttempt
+from nickelmount.balancer.balancer import Balancer
+from nickelmount.balancer.events import (
     AttemptEnded,
-    BackendsChanged,
+    EndpointsChanged,
     Event,
-    ListKind,
+    ListUpdateKind,
     Outcome,
     RequestArrived,
-    Send,
 )
-from nickelmount.balancer.balancer import Balancer
-from nickelmount.agent.upstream import Backends
-from nickelmount.agent.clock import Clock
-from nickelmount.agent.config import from_doc
-from nickelmount.agent.connection_pool import Pool
 
+from .agent_config import config
 from .catalog import Catalog, generate
 from .experiment import Experiment
 from .role import run, serve, usage
-from .agent_config import config
 
 CHANGES = 200  # single ones, each timed
 SECONDS = 20  # of requests, on the module's clock
@@ -62,22 +61,22 @@
         self._catalog = Catalog(generate(servers, seed, ports=[9000], **shape), CHANGES)
         empty = {"revision": 0, "complete": True, "members": []}
         clock = Clock()
-        self._config = from_doc(config(self._e, 0, 9, empty), {}, clock)
-        settings = replace(self._config.settings, siblings=max(1, servers))
-        pool = Pool(clock, self._config.connect_timeout_us, self._config.conn_idle_us, 512)
-        self._backends = Backends(clock, settings.report_fields, pool)
+        self._config = config_from(config(self._e, 0, 9, empty), {}, clock)
+        settings = replace(self._config.settings, instance_count=max(1, servers))
+        pool = ConnectionPool(clock, self._config.connect_timeout_us, self._config.conn_idle_us, 512)
+        self._backends = Upstream(clock, settings.load_report_fields, pool)
         self._balancer = Balancer(settings, seed)
         self._now = 1_000_000
-        self._told(self._config.known, ListKind.CACHED)
+        self._told(self._config.known, ListUpdateKind.CACHED)
 
     def _handle(self, event: Event) -> list[Action]:
         return self._balancer.handle(self._now, event)
 
-    def _told(self, listing: Any, kind: ListKind) -> None:
-        self._handle(BackendsChanged(kind, self._backends.told(listing)))
+    def _told(self, listing: Any, kind: ListUpdateKind) -> None:
+        self._handle(EndpointsChanged(kind, self._backends.told(listing)))
 
     def _take(self, body: bytes) -> None:
-        self._told(self._config.parser.parse(json.loads(body)), ListKind.DELTA)
+        self._told(self._config.parser.parse(json.loads(body)), ListUpdateKind.DELTA)
 
     def figures(self) -> dict[str, float]:
         body = self._catalog.answer(None)
@@ -120,19 +119,19 @@
             self._now += 1_000_000 // RATE
             while ends and ends[0][0] <= self._now:
                 _, end = ends.pop(0)
-                took[end.request - 1] += _timed(lambda end=end: self._handle(end))[1]  # type: ignore[misc]
+                took[end.request_id - 1] += _timed(lambda end=end: self._handle(end))[1]  # type: ignore[misc]
             arrived = RequestArrived(number, 0, 2_000_000)
             actions, us = _timed(lambda arrived=arrived: self._handle(arrived))  # type: ignore[misc]
             took.append(us)
             for send in actions:
-                if isinstance(send, Send):
+                if isinstance(send, SendAttempt):
                     ends.append(
                         (
                             self._now + ANSWER_US,
                             AttemptEnded(
                                 number,
                                 send.attempt,
-                                send.backend,
+                                send.endpoint_id,
                                 Outcome.OK,
                                 ANSWER_US,
                                 True,
--- a/nickelmount/protocol/settings.py
+++ b/nickelmount/protocol/settings.py
@@ -1,75 +1,98 @@
-"""The settings as a deployment states them in JSON, translated for the adapter and for the agent."""
+"""The settings as a deployment states them in JSON, translated for the agent and the simulator's adapter.
+
+This is the one place where the names of that document stand beside the balancer's.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from typing import Any
 
-from ..balancer import interface as q
+from nickelmount.balancer.settings import (
+    DedupScope,
+    DiscoveryMode,
+    Idempotency,
+    Prices,
+    RequestClass,
+    Settings,
+    Tenant,
+)
+from nickelmount.errors import SettingsError
 
-EFFECTS = {"retryable": q.Effect.SAFE, "dedup": q.Effect.KEYED, "fragile": q.Effect.UNSAFE}
+IDEMPOTENCY = {
+    "retryable": Idempotency.ALWAYS,
+    "dedup": Idempotency.WITH_KEY,
+    "fragile": Idempotency.NEVER,
+}
+DEDUP_SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
+DISCOVERY_MODES = {"push": DiscoveryMode.PUSH, "ask": DiscoveryMode.POLL}
 
+DEFAULT_NOTIFIED_AFTER_US = 10_000_000
+DEFAULT_DRAIN_GRACE_US = 500_000
 
-class SettingsError(Exception):
-    """The settings are not what the interface says; the text tells what."""
 
+def settings_from(document: Mapping[str, Any]) -> Settings:
+    """Translate the settings of a deployment; all times in the document are microseconds.
 
-def settings_from(facts: dict[str, Any]) -> q.Settings:
-    """Translate the settings of the wire; unknown keys are skipped, a needed one that lacks is named."""
+    Unknown keys are skipped, and so are known ones that no decision uses. Raises SettingsError, naming the
+    key, where one that is required is missing, or its value cannot be used.
+    """
     try:
-        allowed, rules, prices = facts["allowed"], facts["rules"], facts.get("prices") or {}
-        report = facts.get("report") or {}
-        classes = tuple(
-            q.RequestClass(
-                name=str(c["name"]),
-                aim_us=int(c["aimUs"]),
-                deadline_us=int(c["deadlineUs"]),
-                effect=EFFECTS[c["repeat"]],
-                group=q.Group(c.get("dedupScope") or "all"),
-                window_us=int(c.get("memorySpanUs") or 0),
-                worth=float(c.get("value", 1.0)),
-                late_worth=float(c.get("lateWorth") or 0.0),
-                aim_stretch=float(c.get("aimStretch") or 0.0),
-            )
-            for c in facts["profiles"]
-        )
-        tenants = tuple(
-            q.Tenant(str(t["name"]), float(t.get("quotaPerS") or 0.0), float(t.get("share") or 0.0))
-            for t in facts.get("tenants") or ()
-        )
-        return q.Settings(
-            classes=classes,
-            tenants=tenants,
-            zone=int(facts.get("zone", 0)),
-            siblings=int(facts["siblings"]),
-            me=int(facts.get("me", 0)),
-            can_tell=bool(allowed.get("peers")),
-            report_fields=tuple(report.get("columns") or ()) if report.get("source") != "off" else (),
-            discovery=q.Discovery(facts["registryMode"]),
-            ask_within_us=int(rules.get("askWithinUs") or 10_000_000),
-            drain_grace_us=int(rules.get("drainGraceUs", 500_000)),
-            can_cancel=bool(allowed["cancel"]),
-            can_probe=bool(allowed["probes"]),
-            second_copies=bool(allowed["secondCopies"]),
-            max_attempts=int(allowed["maxAttempts"]),
-            retry_after=bool(allowed.get("retryAfter")),
-            max_retry_after_us=int(allowed.get("maxRetryAfterUs") or 0),
-            tick_us=int(facts["quantumUs"]),
-            answer_slack_us=int(rules.get("graceToAnswerUs") or 0),
-            over_share_worth=float(facts.get("overShareWorth", 1.0)),
-            capacity_hints=facts.get("weightKind", "off") != "off",
-            start_fraction=float(rules["startCapacity"]),
-            warm_up_us=int(rules["warmUpUs"]),
-            fall_multiple=float(rules["fallMultiple"]),
-            fall_window_us=int(rules["tipAfterUs"]),
-            prices=q.Prices(
-                cross_zone=float(prices.get("crossZone", 0.0)),
-                waste=float(prices.get("waste", 0.0)),
-                late_fail=float(prices.get("lateFail", 0.0)),
-                probe=float(prices.get("probe", 0.0)),
-                peer=float(prices.get("peer", 0.0)),
-            ),
-        )
+        return _settings(document)
     except KeyError as e:
-        raise SettingsError(f"settings: needed key or known word missing: {e}") from None
+        raise SettingsError(f"settings: required key or known word missing: {e}") from None
     except (TypeError, AttributeError, ValueError, OverflowError) as e:
         raise SettingsError(f"settings: {e}") from None
+
+
+def _settings(document: Mapping[str, Any]) -> Settings:
+    allowed, rules = document["allowed"], document["rules"]
+    report = document.get("report") or {}
+    reports_load = report.get("source") != "off"
+    return Settings(
+        classes=tuple(_request_class(profile) for profile in document["profiles"]),
+        tenants=tuple(_tenant(tenant) for tenant in document.get("tenants") or ()),
+        instance_count=int(document["siblings"]),
+        instance_index=int(document.get("me", 0)),
+        load_report_fields=tuple(report.get("columns") or ()) if reports_load else (),
+        discovery_mode=DISCOVERY_MODES[document["registryMode"]],
+        notified_after_us=int(rules.get("askWithinUs") or DEFAULT_NOTIFIED_AFTER_US),
+        drain_grace_us=int(rules.get("drainGraceUs", DEFAULT_DRAIN_GRACE_US)),
+        can_cancel=bool(allowed["cancel"]),
+        can_probe=bool(allowed["probes"]),
+        can_gossip=bool(allowed.get("peers")),
+        can_hedge=bool(allowed["secondCopies"]),
+        max_attempts=int(allowed["maxAttempts"]),
+        can_send_retry_after=bool(allowed.get("retryAfter")),
+        max_retry_after_us=int(allowed.get("maxRetryAfterUs") or 0),
+        tick_us=int(document["quantumUs"]),
+        answer_slack_us=int(rules.get("graceToAnswerUs") or 0),
+        has_capacity_hints=document.get("weightKind", "off") != "off",
+        warm_up_start_capacity=float(rules["startCapacity"]),
+        warm_up_us=int(rules["warmUpUs"]),
+        overload_multiple=float(rules["fallMultiple"]),
+        overload_window_us=int(rules["tipAfterUs"]),
+        prices=_prices(document.get("prices") or {}),
+    )
+
+
+def _request_class(profile: Mapping[str, Any]) -> RequestClass:
+    return RequestClass(
+        name=str(profile["name"]),
+        latency_objective_us=int(profile["aimUs"]),
+        deadline_us=int(profile["deadlineUs"]),
+        idempotency=IDEMPOTENCY[profile["repeat"]],
+        dedup_scope=DEDUP_SCOPES[profile.get("dedupScope") or "all"],
+        dedup_window_us=int(profile.get("memorySpanUs") or 0),
+        priority_weight=float(profile.get("value", 1.0)),
+        late_weight=float(profile.get("lateWorth") or 0.0),
+        objective_stretch=float(profile.get("aimStretch") or 0.0),
+    )
+
+
+def _tenant(tenant: Mapping[str, Any]) -> Tenant:
+    return Tenant(name=str(tenant["name"]), quota_per_s=float(tenant.get("quotaPerS") or 0.0))
+
+
+def _prices(prices: Mapping[str, Any]) -> Prices:
+    return Prices(probe=float(prices.get("probe", 0.0)), gossip=float(prices.get("peer", 0.0)))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,32 +4,28 @@
 
 from typing import Any, TypeVar
 
+from nickelmount.balancer.actions import Action, SendAttempt
 from nickelmount.balancer.balancer import Balancer
-from nickelmount.balancer.interface import (
-    Action,
+from nickelmount.balancer.events import (
     AttemptEnded,
-    Backend,
-    BackendsChanged,
-    Effect,
+    Endpoint,
+    EndpointsChanged,
     Event,
-    Group,
-    ListKind,
+    ListUpdateKind,
     Outcome,
     RequestArrived,
-    RequestClass,
-    Send,
-    Settings,
     TimerFired,
 )
+from nickelmount.balancer.settings import DedupScope, Idempotency, RequestClass, Settings
 
 A = TypeVar("A")
 MS, SECOND = 1_000, 1_000_000
 SAFE = RequestClass("safe", 500 * MS, 2 * SECOND)
-UNSAFE = RequestClass("unsafe", 500 * MS, 2 * SECOND, Effect.UNSAFE)
+UNSAFE = RequestClass("unsafe", 500 * MS, 2 * SECOND, Idempotency.NEVER)
 
 
-def keyed(group: Group, window_us: int = SECOND) -> RequestClass:
-    return RequestClass("keyed", 500 * MS, 2 * SECOND, Effect.KEYED, group, window_us)
+def keyed(dedup_scope: DedupScope, dedup_window_us: int = SECOND) -> RequestClass:
+    return RequestClass("keyed", 500 * MS, 2 * SECOND, Idempotency.WITH_KEY, dedup_scope, dedup_window_us)
 
 
 class Drive:
@@ -50,36 +46,38 @@
         self.timers: list[tuple[int, int]] = []
         self.requests = 0
         self.attempts: dict[int, int] = {}
-        self.backends = [Backend(f"s{i}", zone=i % 2, cell=i % 3) for i in range(servers)]
-        self.event(BackendsChanged(ListKind.CACHED, list(self.backends)))
+        self.backends = [Endpoint(f"s{i}", zone=i % 2, cell=i % 3) for i in range(servers)]
+        self.event(EndpointsChanged(ListUpdateKind.CACHED, list(self.backends)))
 
     def event(self, event: Event) -> list[Action]:
-        from nickelmount.balancer.interface import SetTimer
+        from nickelmount.balancer.actions import SetTimer
 
         actions = self.balancer.handle(self.now, event)
         for a in actions:
             if isinstance(a, SetTimer):
                 self.timers.append((self.now + a.delay_us, a.token))
-            if isinstance(a, Send):
-                self.attempts[a.request] = self.attempts.get(a.request, -1) + 1
+            if isinstance(a, SendAttempt):
+                self.attempts[a.request_id] = self.attempts.get(a.request_id, -1) + 1
         self.log += actions
         return actions
 
-    def request(self, patience_us: int = SECOND, tenant: int = 0) -> tuple[int, list[Action]]:
+    def request(self, timeout_us: int = SECOND, tenant: int = 0) -> tuple[int, list[Action]]:
         self.requests += 1
-        return self.requests, self.event(RequestArrived(self.requests, 0, patience_us, tenant))
+        return self.requests, self.event(RequestArrived(self.requests, 0, timeout_us, tenant))
 
     def end(
         self,
-        send: Send,
+        send: SendAttempt,
         outcome: Outcome,
         took_us: int = 20 * MS,
         attempt: int | None = None,
-        report: tuple[float, ...] = (),
+        load_report: tuple[float, ...] = (),
     ) -> list[Action]:
-        n = self.attempts[send.request] if attempt is None else attempt
+        n = self.attempts[send.request_id] if attempt is None else attempt
         done = outcome is Outcome.OK
-        return self.event(AttemptEnded(send.request, n, send.backend, outcome, took_us, done, report))
+        return self.event(
+            AttemptEnded(send.request_id, n, send.endpoint_id, outcome, took_us, done, load_report)
+        )
 
     def wait(self, us: int) -> list[Action]:
         """Let time pass, firing the timers that fall due on the way."""
@@ -98,12 +96,12 @@
         """Let some requests be answered, so that the table knows its servers."""
         for _ in range(count):
             _, actions = self.request()
-            for s in only(actions, Send):
+            for s in only(actions, SendAttempt):
                 self.end(s, Outcome.OK, took_us)
             self.wait(took_us)
 
-    def list(self, *backends: Backend, kind: ListKind = ListKind.DELTA) -> list[Action]:
-        return self.event(BackendsChanged(kind, list(backends)))
+    def list(self, *backends: Endpoint, kind: ListUpdateKind = ListUpdateKind.DELTA) -> list[Action]:
+        return self.event(EndpointsChanged(kind, list(backends)))
 
 
 def only(actions: list[Action], kind: type[A]) -> list[A]:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,13 +11,13 @@
 from pathlib import Path
 from typing import Any
 
-from nickelmount.agent.lifecycle import assemble
 from nickelmount.agent.agent import Agent
-from nickelmount.agent.downstream import ClientTimes
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.config import Config, load
 from nickelmount.agent.discovery import Address
-from nickelmount.agent.listener import Server
+from nickelmount.agent.downstream import ClientTimeouts
+from nickelmount.agent.lifecycle import assemble
+from nickelmount.agent.listener import Listener
 
 KEYED, UNSAFE = "registro-servicio", "vale-almacen"
 LOAD = b"inflight=0,queue=0,util=0.1"
@@ -221,7 +221,7 @@
     """An agent, its backends and its discovery."""
 
     agent: Agent
-    server: Server
+    server: Listener
     port: int
     discovery: Peer
     backends: list[Peer]
@@ -259,7 +259,11 @@
 
 @contextlib.asynccontextmanager
 async def world(
-    folder: Path, backends: int = 1, most: int | None = None, times: ClientTimes | None = None, **allowed: Any
+    folder: Path,
+    backends: int = 1,
+    most: int | None = None,
+    times: ClientTimeouts | None = None,
+    **allowed: Any,
 ) -> AsyncIterator[World]:
     """Everything up and listening; all of it ends with the block."""
     discovery = await Peer().start()
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -106,9 +106,9 @@
     "not running": (frame(1, [request(5, 1)]), b"instance 5"),
     "beyond the tail": (frame(1, [spawn(0, FACTS_BYTES)]), b"beyond the tail"),
     "not JSON": (frame(1, [spawn(0, b"{")], b"{"), b"not JSON"),
-    "not finite": (frame(1, [spawn(0, NAN)], NAN), b"fall_multiple"),
+    "not finite": (frame(1, [spawn(0, NAN)], NAN), b"overload_multiple"),
     "no whole number": (frame(1, [spawn(0, INF)], INF), b"settings"),
-    "out of range": (frame(1, [spawn(0, RANGE)], RANGE), b"start_fraction"),
+    "out of range": (frame(1, [spawn(0, RANGE)], RANGE), b"warm_up_start_capacity"),
     "unknown outcome": (frame(1, [spawn(0, FACTS_BYTES), ended(0, 77)], FACTS_BYTES), b"bad value 77"),
     "note beyond the tail": (
         frame(1, [spawn(0, FACTS_BYTES), struct.pack(">BHHII", 90, 0, 1, 9999, 4)], FACTS_BYTES),
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 import pytest
-from tests.loopback import KEYED, UNSAFE, World, post, world
 
-from nickelmount.balancer.interface import Event, RequestArrived
+from nickelmount.agent.connection_pool import ConnectionPool, PooledConnection
+from nickelmount.agent.discovery import ListedEndpoint
 from nickelmount.balancer.balancer import Balancer
-from nickelmount.agent.discovery import Member
-from nickelmount.agent.connection_pool import Pool, Pooled
+from nickelmount.balancer.events import Event, RequestArrived
+from tests.loopback import KEYED, UNSAFE, World, post, world
 
 
 def test_a_request_goes_on_unchanged_and_connections_are_kept(tmp_path: Path) -> None:
@@ -217,8 +217,8 @@
 
     def handle(self: Balancer, now: int, event: Event) -> list[Any]:
         actions = whole(self, now, event)
-        if isinstance(event, RequestArrived) and event.request <= 3:
-            agents[0]._give_up(event.request)  # between the decision and its being carried out
+        if isinstance(event, RequestArrived) and event.request_id <= 3:
+            agents[0]._give_up(event.request_id)  # between the decision and its being carried out
         return actions
 
     monkeypatch.setattr(Balancer, "handle", handle)
@@ -242,15 +242,15 @@
 def test_an_attempt_that_cannot_be_started_ends_in_the_module_too(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    whole, tries = Pool.take, list[int]()
+    whole, tries = ConnectionPool.take, list[int]()
 
-    def take(self: Pool, member: Member) -> Pooled | None:
+    def take(self: ConnectionPool, member: ListedEndpoint) -> PooledConnection | None:
         tries.append(1)
         if len(tries) == 1:
             raise OSError("no descriptor for a poll")
         return whole(self, member)
 
-    monkeypatch.setattr(Pool, "take", take)
+    monkeypatch.setattr(ConnectionPool, "take", take)
 
     async def run() -> None:
         async with world(tmp_path, backends=2) as w:
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -9,35 +9,37 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from tests.loopback import Message, Peer, member
 
-from nickelmount.balancer.interface import Outcome
-from nickelmount.agent.upstream import Ask, Backends, Result, parse_report
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.connection import Connection
-from nickelmount.agent.discovery import Listing, ListingParser
-from nickelmount.agent.connection_pool import Pool
+from nickelmount.agent.connection_pool import ConnectionPool
+from nickelmount.agent.discovery import EndpointList, EndpointListParser
+from nickelmount.agent.upstream import ExchangeResult, Upstream, UpstreamRequest, parse_report
+from nickelmount.balancer.events import Outcome
+from tests.loopback import Message, Peer, member
 
 FIELDS = ("inflight", "queue", "util")
-ASK = Ask(b"POST", b"/api", [(b"Request-Id", b"1")], b"job")
+ASK = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"job")
 CLOCK = Clock()
 
 
-def listing(port: int, phase: str = "SERVING", up: int = 0) -> Listing:
-    parser = ListingParser(CLOCK, ("a",), ("m",))
+def listing(port: int, phase: str = "SERVING", up: int = 0) -> EndpointList:
+    parser = EndpointListParser(CLOCK, ("a",), ("m",))
     return parser.parse({"revision": 1, "complete": False, "members": [member("s", port, phase, up)]})
 
 
 def backends(
     port: int, idle_us: int = 60_000_000, connect_us: int = 10_000_000, most: int = 9, rest_us: int = 0
-) -> Backends:
-    made = Backends(CLOCK, FIELDS, Pool(CLOCK, connect_us, idle_us, most, rest_us))
+) -> Upstream:
+    made = Upstream(CLOCK, FIELDS, ConnectionPool(CLOCK, connect_us, idle_us, most, rest_us))
     made.told(listing(port))
     return made
 
 
-def begin(b: Backends, ask: Ask = ASK, timeout_us: int = 60_000_000) -> asyncio.Future[Result]:
-    end: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
+def begin(
+    b: Upstream, ask: UpstreamRequest = ASK, timeout_us: int = 60_000_000
+) -> asyncio.Future[ExchangeResult]:
+    end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
     b.exchange("s", ask, timeout_us, end.set_result)
     return end
 
@@ -142,7 +144,7 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0, limit=1024)
         port = server.sockets[0].getsockname()[1]
         # More than all buffers between the two can hold.
-        big = Ask(b"POST", b"/api", [(b"Request-Id", b"1")], b"x" * 64 * 1024 * 1024)
+        big = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"x" * 64 * 1024 * 1024)
         assert (await begin(backends(port), big)).outcome is Outcome.CONNECT_FAILED
         server.close()
 
@@ -154,8 +156,8 @@
         with socket.create_server(("127.0.0.1", 0)) as peer:
             peer.setblocking(False)
             there = backends(peer.getsockname()[1])
-            end: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
-            large = Ask(b"POST", b"/api", [(b"Request-Id", b"1")], b"x" * 50_000_000)
+            end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
+            large = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"x" * 50_000_000)
             exchange = there.exchange("s", large, 60_000_000, end.set_result)
             taken, _ = await asyncio.get_running_loop().sock_accept(peer)
             with taken:
@@ -174,7 +176,7 @@
 def test_a_bound_on_writing_does_not_end_what_is_written() -> None:
     async def run() -> None:
         peer = await Peer().start()
-        end: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
+        end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
         exchange = backends(peer.port).exchange("s", ASK, 60_000_000, end.set_result)
         got = await peer.requests.get()
         exchange.write_within(1)
@@ -190,10 +192,10 @@
     async def run() -> None:
         peer = await Peer().start()
         b = backends(peer.port)
-        end: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
+        end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
         told: list[bool] = []
 
-        def done(result: Result) -> None:
+        def done(result: ExchangeResult) -> None:
             told.append(taken[0].peer.told_of_close())
             end.set_result(result)
 
@@ -208,7 +210,7 @@
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-async def served(b: Backends, peer: Peer) -> Message:
+async def served(b: Upstream, peer: Peer) -> Message:
     end = begin(b)
     message = await peer.requests.get()
     await message.answer()
@@ -358,11 +360,11 @@
         b = backends(peer.port, most=1)
         message = await served(b, peer)
         b.told(
-            ListingParser(CLOCK, (), ()).parse(
+            EndpointListParser(CLOCK, (), ()).parse(
                 {"revision": 2, "complete": False, "members": [member("t", other.port)]}
             )
         )
-        end: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
+        end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
         b.exchange("t", ASK, 60_000_000, end.set_result)
         await message.peer.ended()
         await (await other.requests.get()).answer()
@@ -455,8 +457,8 @@
 
     async def run() -> None:
         peer = await Peer().start()
-        pool = Pool(clock, 10_000_000, 60_000_000, 9)
-        b = Backends(clock, FIELDS, pool)
+        pool = ConnectionPool(clock, 10_000_000, 60_000_000, 9)
+        b = Upstream(clock, FIELDS, pool)
         b.told(listing(peer.port))
         first = await served(b, peer)
         clock.us += 6_000  # so late is the copy, and the next request comes ahead of it
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -16,8 +16,8 @@
 from hdrh.histogram import HdrHistogram
 
 from nickelmount.fleet import load_generator as caller
-from nickelmount.fleet.load_generator import Caller, Calls, Pool, Stream, due_times
 from nickelmount.fleet.emulated_endpoints import MapServers
+from nickelmount.fleet.load_generator import Caller, Calls, Pool, Stream, due_times
 
 from .loopback import Conversation, Message, Peer
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -9,43 +9,39 @@
 
 import pytest
 
-from nickelmount.balancer.interface import (
+from nickelmount.balancer.actions import SendAttempt, SendProbe, SetTimer
+from nickelmount.balancer.balancer import Balancer
+from nickelmount.balancer.events import (
     AttemptEnded,
-    Backend,
-    BackendsChanged,
-    Effect,
-    ListKind,
+    Endpoint,
+    EndpointsChanged,
+    ListUpdateKind,
     Outcome,
-    Probe,
     ProbeEnded,
     RequestArrived,
-    RequestClass,
-    Send,
-    Settings,
-    SetTimer,
     TimerFired,
 )
-from nickelmount.balancer.balancer import Balancer
+from nickelmount.balancer.settings import Idempotency, RequestClass, Settings
 
 from .helpers import MS, SECOND
 
 SERVERS, COLD = 40, 6
 RATE, BURST = 20.0, 1.6  # of a server with speed 1, in requests a second; of all requests, in what all can do
 START, WARM_UP_US, MULTIPLE, WINDOW_US = 0.15, 20 * SECOND, 2.5, 2 * SECOND
-WORK = RequestClass("work", 500 * MS, 2 * SECOND, Effect.UNSAFE)
+WORK = RequestClass("work", 500 * MS, 2 * SECOND, Idempotency.NEVER)
 
 
 class Machine:
     """A server: one core, requests one after another. By the slowest ramp that the settings allow."""
 
     def __init__(self, rate: float) -> None:
-        self.rate, self.started_at = rate, 0  # requests of mean work a second, when warm
+        self.rate, self.started_at_us = rate, 0  # requests of mean work a second, when warm
         self.free_at, self.held = 0.0, 0
         self.came: list[int] = []
 
     def warmth(self, now: float) -> float:
-        age = now - self.started_at
-        return 1.0 if not self.started_at else min(1.0, START + (1.0 - START) * age / WARM_UP_US)
+        age = now - self.started_at_us
+        return 1.0 if not self.started_at_us else min(1.0, START + (1.0 - START) * age / WARM_UP_US)
 
     def takes(self, now: int, work: float) -> int:
         """When a request that comes now is done."""
@@ -67,7 +63,7 @@
 
 
 def fullest_cold_server(
-    siblings: int, seed: int, speeds: tuple[float, ...], hinted: bool, probes: bool = False
+    instance_count: int, seed: int, speeds: tuple[float, ...], hinted: bool, probes: bool = False
 ) -> tuple[float, int]:
     """Some servers of a fleet start anew under a burst, and each balancer is told at once.
 
@@ -80,20 +76,20 @@
     mean = sum(speeds[i % len(speeds)] for i in range(SERVERS)) / SERVERS
     settings = Settings(
         classes=(WORK,),
-        siblings=siblings,
-        report_fields=("inflight",),
+        instance_count=instance_count,
+        load_report_fields=("inflight",),
         tick_us=MS,
-        second_copies=False,
+        can_hedge=False,
         can_probe=probes,
-        capacity_hints=hinted,
-        start_fraction=START,
+        has_capacity_hints=hinted,
+        warm_up_start_capacity=START,
         warm_up_us=WARM_UP_US,
-        fall_multiple=MULTIPLE,
-        fall_window_us=WINDOW_US,
+        overload_multiple=MULTIPLE,
+        overload_window_us=WINDOW_US,
     )
-    entries = [Backend(i, capacity_hint=m.rate / RATE if hinted else 1.0) for i, m in enumerate(machines)]
-    fleet = [Balancer(settings, rng.getrandbits(32)) for _ in range(siblings)]
-    shares = [10.0 if i % 10 == 0 else 1.0 for i in range(siblings)]
+    entries = [Endpoint(i, capacity_hint=m.rate / RATE if hinted else 1.0) for i, m in enumerate(machines)]
+    fleet = [Balancer(settings, rng.getrandbits(32)) for _ in range(instance_count)]
+    shares = [10.0 if i % 10 == 0 else 1.0 for i in range(instance_count)]
     due: list[tuple[int, int, int, object]] = []
     count = requests = 0
 
@@ -103,26 +99,26 @@
             count += 1
             if isinstance(a, SetTimer):
                 heappush(due, (now + a.delay_us, count, who, TimerFired(a.token)))
-            elif isinstance(a, Probe):
-                assert isinstance(a.backend, int)
-                told = (float(machines[a.backend].held),)
-                heappush(due, (now + MS, count, who, ProbeEnded(a.backend, Outcome.OK, MS, told)))
-            elif isinstance(a, Send):
-                assert isinstance(a.backend, int)
-                done = machines[a.backend].takes(now, 0.5 + rng.random())
+            elif isinstance(a, SendProbe):
+                assert isinstance(a.endpoint_id, int)
+                told = (float(machines[a.endpoint_id].held),)
+                heappush(due, (now + MS, count, who, ProbeEnded(a.endpoint_id, Outcome.OK, MS, told)))
+            elif isinstance(a, SendAttempt):
+                assert isinstance(a.endpoint_id, int)
+                done = machines[a.endpoint_id].takes(now, 0.5 + rng.random())
                 timed_out = done > now + a.timeout_us
                 end = AttemptEnded(
-                    a.request,
+                    a.request_id,
                     a.attempt,
-                    a.backend,
+                    a.endpoint_id,
                     Outcome.TIMEOUT if timed_out else Outcome.OK,
                     min(done - now, a.timeout_us),
                     not timed_out,
                 )
                 heappush(due, (min(done, now + a.timeout_us), count, who, end))
 
-    for who in range(siblings):
-        act(who, SECOND, BackendsChanged(ListKind.CACHED, entries))
+    for who in range(instance_count):
+        act(who, SECOND, EndpointsChanged(ListUpdateKind.CACHED, entries))
     now, restart, end = SECOND, 5 * SECOND, 11 * SECOND
     cold = [*range(COLD // 2 * len(speeds))][:: len(speeds)] + rng.sample(range(SERVERS), COLD // 2)
     while now < end:
@@ -131,21 +127,21 @@
         while due and due[0][0] <= now:
             at, _, who, event = heappop(due)
             if isinstance(event, AttemptEnded):
-                assert isinstance(event.backend, int)
-                machine = machines[event.backend]
+                assert isinstance(event.endpoint_id, int)
+                machine = machines[event.endpoint_id]
                 if event.outcome is Outcome.OK:
-                    event.report = (float(machine.held),)
+                    event.load_report = (float(machine.held),)
                 machine.held -= 1
             act(who, at, event)
-        if now >= restart and not machines[cold[0]].started_at:
+        if now >= restart and not machines[cold[0]].started_at_us:
             for i in cold:
-                machines[i].started_at, machines[i].free_at = now, now
+                machines[i].started_at_us, machines[i].free_at = now, now
                 machines[i].came.clear()
-                entries[i].started_at = now
-            for who in range(siblings):
-                act(who, now, BackendsChanged(ListKind.DELTA, [entries[i] for i in cold]))
+                entries[i].started_at_us = now
+            for who in range(instance_count):
+                act(who, now, EndpointsChanged(ListUpdateKind.DELTA, [entries[i] for i in cold]))
         requests += 1
-        (who,) = rng.choices(range(siblings), shares)
+        (who,) = rng.choices(range(instance_count), shares)
         act(who, now, RequestArrived(requests, 0, 2 * SECOND))
     return max(machines[i].fullest() for i in cold), sum(len(machines[i].came) for i in cold)
 
@@ -155,7 +151,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize(
-    "siblings, speeds, hinted, probes",
+    "instance_count, speeds, hinted, probes",
     [
         (3, UNEVEN, True, False),
         (30, UNEVEN, True, False),
@@ -166,8 +162,8 @@
     ],
 )
 def test_all_balancers_together_let_a_cold_server_stand_however_small_it_is(
-    siblings: int, speeds: tuple[float, ...], hinted: bool, probes: bool, seed: int
+    instance_count: int, speeds: tuple[float, ...], hinted: bool, probes: bool, seed: int
 ) -> None:
     # Of thirty and more each offered a small machine what one of mean size bears: up to twice its own part.
-    fullest, got = fullest_cold_server(siblings, seed, speeds, hinted, probes)
+    fullest, got = fullest_cold_server(instance_count, seed, speeds, hinted, probes)
     assert fullest <= 1.0 and got >= 40, (fullest, got)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,18 +9,18 @@
 from typing import Any
 
 import pytest
-from tests.loopback import LOAD, UNSAFE, Message, Peer, World, member, post, world
 
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.connection import Connection
-from nickelmount.agent.discovery import Listing, ListingParser
-from nickelmount.agent.connection_pool import Pooled
+from nickelmount.agent.connection_pool import PooledConnection
+from nickelmount.agent.discovery import EndpointList, EndpointListParser
+from tests.loopback import LOAD, UNSAFE, Message, Peer, World, member, post, world
 
 DONE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
 
-def listing(*members: dict[str, object], complete: bool = False) -> Listing:
-    parser = ListingParser(Clock(), ("a",), ("m",))
+def listing(*members: dict[str, object], complete: bool = False) -> EndpointList:
+    parser = EndpointListParser(Clock(), ("a",), ("m",))
     return parser.parse({"revision": 42, "complete": complete, "members": list(members)})
 
 
@@ -32,7 +32,7 @@
     assert poll.poll(10_000)
 
 
-def attempt(w: World) -> Pooled:
+def attempt(w: World) -> PooledConnection:
     """The connection of the one attempt that is out."""
     (exchange,) = w.agent._out.values()
     assert exchange._connection is not None
@@ -183,7 +183,7 @@
         self._open = w.agent._backends.pool.open
         monkeypatch.setattr(w.agent._backends.pool, "open", self._late)
 
-    async def _late(self, there: Any) -> Pooled:
+    async def _late(self, there: Any) -> PooledConnection:
         self._left -= 1
         held = self._left == 0
         connection = await self._open(there)
@@ -250,7 +250,7 @@
             await late.up.wait()
             other = member("s0", w.backends[0].port) | {where: {"locality": "b", "cell": 2}[where]}
             w.agent._listed(
-                ListingParser(Clock(), ("a", "b"), ("m",)).parse(
+                EndpointListParser(Clock(), ("a", "b"), ("m",)).parse(
                     {"revision": 42, "complete": False, "members": [other]}
                 )
             )
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,23 +10,28 @@
 from typing import Any
 
 import pytest
-from tests.loopback import Peer, config_doc, load_config, member, post, world
-
-from nickelmount.balancer.interface import State
 
 from nickelmount.agent import discovery as discovery_module
-from nickelmount.agent.lifecycle import assemble
 from nickelmount.agent.clock import Clock
-from nickelmount.agent.discovery import ANSWER_BYTES, Address, Discovery, Listing, ListingParser
+from nickelmount.agent.discovery import (
+    ANSWER_BYTES,
+    Address,
+    DiscoveryClient,
+    EndpointList,
+    EndpointListParser,
+)
+from nickelmount.agent.lifecycle import assemble
+from nickelmount.balancer.events import EndpointStatus
+from tests.loopback import Peer, config_doc, load_config, member, post, world
 
 
 def body(revision: int, members: list[dict[str, Any]], complete: bool = False) -> bytes:
     return json.dumps({"revision": revision, "complete": complete, "members": members}).encode()
 
 
-def asks(peer: Peer, wait_ms: int = 20_000) -> Discovery:
-    parser = ListingParser(Clock(), ("a",), ("m",))
-    return Discovery(Address("127.0.0.1", peer.port), parser, 41, 9.0, wait_ms)
+def asks(peer: Peer, wait_ms: int = 20_000) -> DiscoveryClient:
+    parser = EndpointListParser(Clock(), ("a",), ("m",))
+    return DiscoveryClient(Address("127.0.0.1", peer.port), parser, 41, 9.0, wait_ms)
 
 
 def test_the_same_start_is_always_the_same_time() -> None:
@@ -38,7 +43,7 @@
 
 def test_a_watch_goes_on_on_one_connection_and_tells_changes_only() -> None:
     async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[Listing | None]()
+        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
         discovery = asks(peer)
         discovery.watch(told.put_nowait)
         for revision, members in ((42, []), (43, [member("s", 9)])):
@@ -46,7 +51,7 @@
             assert f"index={revision - 1}&wait=" in call.first
             await call.answer(200, body(revision, members))
         listing = await told.get()
-        assert listing is not None and listing.revision == 43 and listing.members[0].backend.id == "s"
+        assert listing is not None and listing.revision == 43 and listing.members[0].endpoint.id == "s"
         call = await peer.requests.get()
         assert "index=43&" in call.first and peer.connections == 1 and told.empty()
         discovery.watch(told.put_nowait)  # asked again while it goes on: no second call
@@ -77,7 +82,7 @@
 )
 def test_an_answer_that_makes_no_sense_is_a_failed_call(answer: bytes) -> None:
     async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[Listing | None]()
+        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
         discovery = asks(peer)
         discovery.watch(told.put_nowait)
         await (await peer.requests.get()).answer(200, answer)
@@ -97,7 +102,7 @@
 def test_a_watch_that_falls_silent_is_found_broken_soon_after_its_wait(begun: bytes) -> None:
     # It was given up 2 s after its wait, just when what it missed counts as told; then the next call came.
     async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[Listing | None]()
+        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
         discovery = asks(peer, wait_ms=30)
         discovery.watch(told.put_nowait)
         silent = await peer.requests.get()
@@ -121,7 +126,7 @@
     monkeypatch.setattr(discovery_module, "ANSWER_S", 0.05)
 
     async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[Listing | None]()
+        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
         asks(peer, wait_ms=30).watch(told.put_nowait)
         assert "&wait=30 " in (await peer.requests.get()).first
         assert "&wait=1 " in (await peer.requests.get()).first
@@ -167,9 +172,9 @@
                 s = kept.enter_context(socket.socket())
                 s.setblocking(False)
                 s.connect_ex(full.getsockname())
-            told = asyncio.Queue[Listing | None]()
-            parser = ListingParser(Clock(), ("a",), ("m",))
-            discovery = Discovery(Address(*full.getsockname()), parser, 0, connect_s=60.0)
+            told = asyncio.Queue[EndpointList | None]()
+            parser = EndpointListParser(Clock(), ("a",), ("m",))
+            discovery = DiscoveryClient(Address(*full.getsockname()), parser, 0, connect_s=60.0)
             discovery._revision = revision
             discovery.watch(told.put_nowait)
             async with asyncio.timeout(5):
@@ -203,7 +208,7 @@
 
 def test_a_connection_that_discovery_closes_is_replaced() -> None:
     async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[Listing | None]()
+        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
         discovery = asks(peer)
         discovery.watch(told.put_nowait)
         first = await peer.requests.get()
@@ -234,7 +239,7 @@
 def test_an_entry_that_makes_no_sense_harms_itself_only() -> None:
     # Refused whole, the same answer came again to each call: servers that drained were not heard of any more.
     async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[Listing | None]()
+        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
         discovery = asks(peer)
         discovery.watch(told.put_nowait)
         bad: list[Any] = [
@@ -249,26 +254,26 @@
         await (await peer.requests.get()).answer(200, body(42, [*bad[:3], GOOD, *bad[3:], drains]))
         listing = await told.get()
         assert listing is not None and listing.revision == 42
-        states = {str(m.backend.id): m.backend.state for m in listing.members}
-        assert states.pop("s") is State.READY and states.pop("d") is State.DRAINING
+        states = {str(m.endpoint.id): m.endpoint.status for m in listing.members}
+        assert states.pop("s") is EndpointStatus.READY and states.pop("d") is EndpointStatus.DRAINING
         # What is said of them is not known: they are sent nothing new.
-        assert set(states) == set("bcef") and set(states.values()) == {State.GONE}
+        assert set(states) == set("bcef") and set(states.values()) == {EndpointStatus.REMOVED}
         await peer.stop()
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
 def test_a_list_of_thousands_is_read_whole() -> None:
-    parser = ListingParser(Clock(), ("a",), ("m",))
+    parser = EndpointListParser(Clock(), ("a",), ("m",))
     members = [member(f"s-{i:08x}", 1 + i % 60000) for i in range(5000)]
     text = body(42, members, complete=True)
     assert len(text) < ANSWER_BYTES
-    assert len({m.backend.id for m in parser.parse(json.loads(text)).members}) == 5000
+    assert len({m.endpoint.id for m in parser.parse(json.loads(text)).members}) == 5000
 
 
 def test_an_older_answer_does_not_undo_what_is_known(tmp_path: Path) -> None:
     async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[Listing | None]()
+        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
         discovery = asks(peer)
         discovery.watch(told.put_nowait)
         await (await peer.requests.get()).answer(200, body(42, [member("s", 9, "DRAINING")]))
@@ -290,7 +295,7 @@
 def test_a_fetch_and_a_watch_that_cross_end_at_the_newer_list() -> None:
     async def run() -> None:
         for fetch_first in (True, False):
-            peer, told = await Peer().start(), asyncio.Queue[Listing | None]()
+            peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
             discovery = asks(peer)
             discovery.watch(told.put_nowait)
             watch = await peer.requests.get()
--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -13,13 +13,18 @@
 
 import pytest
 
-from nickelmount.balancer.interface import State
-
-from nickelmount.fleet import emulated_discovery as standin_module
-from nickelmount.fleet.emulated_discovery import SEND_BUFFER, Standin
 from nickelmount.agent import discovery as discovery_module
 from nickelmount.agent.clock import Clock
-from nickelmount.agent.discovery import Address, Discovery, Listing, ListingParser, Member
+from nickelmount.agent.discovery import (
+    Address,
+    DiscoveryClient,
+    EndpointList,
+    EndpointListParser,
+    ListedEndpoint,
+)
+from nickelmount.balancer.events import EndpointStatus
+from nickelmount.fleet import emulated_discovery as standin_module
+from nickelmount.fleet.emulated_discovery import SEND_BUFFER, Standin
 
 LOCALITIES = ("r0-z0", "r0-z1", "r1-z0", "r1-z1")
 CLOCK = Clock()  # one, so that the same start is the same time to all
@@ -42,23 +47,25 @@
     """What an agent knows of the list."""
 
     def __init__(self, port: int, wait_ms: int = 20_000) -> None:
-        parser = ListingParser(CLOCK, LOCALITIES, ("fast-1c", "mid-1c", "slow-1c"))
-        self.discovery = Discovery(Address("127.0.0.1", port), parser, 0, 9.0, wait_ms)
-        self.known: dict[object, Member] = {}
-        self.told = asyncio.Queue[Listing | None]()
+        parser = EndpointListParser(CLOCK, LOCALITIES, ("fast-1c", "mid-1c", "slow-1c"))
+        self.discovery = DiscoveryClient(Address("127.0.0.1", port), parser, 0, 9.0, wait_ms)
+        self.known: dict[object, ListedEndpoint] = {}
+        self.told = asyncio.Queue[EndpointList | None]()
 
     def watch(self) -> None:
         self.discovery.watch(self._tell)
 
-    def _tell(self, listing: Listing | None) -> None:
+    def _tell(self, listing: EndpointList | None) -> None:
         if listing is not None:
             if listing.complete:
                 self.known.clear()
-            self.known.update((m.backend.id, m) for m in listing.members)
-            self.known = {i: m for i, m in self.known.items() if m.backend.state is not State.GONE}
+            self.known.update((m.endpoint.id, m) for m in listing.members)
+            self.known = {
+                i: m for i, m in self.known.items() if m.endpoint.status is not EndpointStatus.REMOVED
+            }
         self.told.put_nowait(listing)
 
-    async def knows(self, revision: int) -> Listing:
+    async def knows(self, revision: int) -> EndpointList:
         """Watch, again where it breaks, until this revision has been told."""
         self.watch()
         while (listing := await self.told.get()) is None or listing.revision < revision:
@@ -67,7 +74,7 @@
         return listing
 
 
-async def listed(port: int) -> dict[object, Member]:
+async def listed(port: int) -> dict[object, ListedEndpoint]:
     """The whole list, to one who asks for the first time."""
     agent = Agent(port)
     agent.discovery.fetch(agent._tell)
@@ -153,13 +160,13 @@
             await agent.knows(1)
             await standin.begin_outage("silent")
             connected = asyncio.Event()
-            connection_made = discovery_module._Call.connection_made
+            connection_made = discovery_module._DiscoveryConnection.connection_made
 
-            def made(call: discovery_module._Call, transport: asyncio.BaseTransport) -> None:
+            def made(call: discovery_module._DiscoveryConnection, transport: asyncio.BaseTransport) -> None:
                 connection_made(call, transport)
                 connected.set()
 
-            monkeypatch.setattr(discovery_module._Call, "connection_made", made)
+            monkeypatch.setattr(discovery_module._DiscoveryConnection, "connection_made", made)
             await connected.wait()  # the kernel alone has taken it
             await standin.change("DRAINING", where="region", seed=3)
             await standin.end_outage()
@@ -288,7 +295,7 @@
             assert agent.known == await listed(port)
             changes = (await standin.made())["changes"]
             assert [c[0] for c in changes] == list(range(2, revision + 1)) and {c[2] for c in changes} == {1}
-            draining = [m for m in agent.known.values() if m.backend.state is State.DRAINING]
+            draining = [m for m in agent.known.values() if m.endpoint.status is EndpointStatus.DRAINING]
             assert len(draining) == (revision - 1) % 2
 
     asyncio.run(run())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,22 +10,12 @@
 
 import pytest
 
-from nickelmount.balancer.interface import (
-    Backend,
-    Discovery,
-    Effect,
-    ListKind,
-    Outcome,
-    RequestArrived,
-    RequestClass,
-    Send,
-    TimerFired,
-    Watch,
-)
-
-from nickelmount.agent.lifecycle import assemble
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.discovery import ANSWER_S, LATE_S
+from nickelmount.agent.lifecycle import assemble
+from nickelmount.balancer.actions import SendAttempt, WatchEndpoints
+from nickelmount.balancer.events import Endpoint, ListUpdateKind, Outcome, RequestArrived, TimerFired
+from nickelmount.balancer.settings import DiscoveryMode, Idempotency, RequestClass
 
 from .helpers import MS, SECOND, UNSAFE, Drive, only
 from .loopback import Peer, config_doc, load_config, member
@@ -36,32 +26,32 @@
 def served(d: Drive, count: int, held: float = 1.0) -> None:
     """So many requests answered at once, each answer reporting what the server holds."""
     for _ in range(count):
-        for s in only(d.request()[1], Send):
-            d.end(s, Outcome.OK, int(20 * MS * max(1.0, held)), report=(held,))
+        for s in only(d.request()[1], SendAttempt):
+            d.end(s, Outcome.OK, int(20 * MS * max(1.0, held)), load_report=(held,))
         d.wait(5 * MS)
 
 
-def send_to(d: Drive, backend: str) -> Send:
+def send_to(d: Drive, backend: str) -> SendAttempt:
     """Requests until one goes to this server; it is left without an answer."""
     while True:
-        send = only(d.request()[1], Send)[0]
-        if send.backend == backend:
+        send = only(d.request()[1], SendAttempt)[0]
+        if send.endpoint_id == backend:
             return send
-        d.end(send, Outcome.OK, 20 * MS, report=(1.0,))
+        d.end(send, Outcome.OK, 20 * MS, load_report=(1.0,))
 
 
 def sends(d: Drive, count: int) -> list[object]:
     out: list[object] = []
     for _ in range(count):
-        for s in only(d.request()[1], Send):
-            out.append(s.backend)
-            d.end(s, Outcome.OK, 20 * MS, report=(1.0,))
+        for s in only(d.request()[1], SendAttempt):
+            out.append(s.endpoint_id)
+            d.end(s, Outcome.OK, 20 * MS, load_report=(1.0,))
     return out
 
 
 def test_a_time_out_tells_how_much_a_server_holds() -> None:
     # A choked server answers nothing and so reports nothing: its last word, from before, made it look light.
-    d = Drive(UNSAFE, servers=2, report_fields=INFLIGHT, siblings=3)
+    d = Drive(UNSAFE, servers=2, load_report_fields=INFLIGHT, instance_count=3)
     served(d, 40)
     lost = send_to(d, "s0")
     served(d, 20)
@@ -71,7 +61,7 @@
 
 
 def test_an_attempt_out_for_long_tells_it_before_its_time_out() -> None:
-    d = Drive(UNSAFE, servers=2, report_fields=INFLIGHT, siblings=3)
+    d = Drive(UNSAFE, servers=2, load_report_fields=INFLIGHT, instance_count=3)
     served(d, 40)
     send_to(d, "s0")
     served(d, 20)
@@ -80,11 +70,11 @@
 
 
 def test_what_silence_told_gives_way_to_the_next_report() -> None:
-    d = Drive(UNSAFE, servers=2, report_fields=INFLIGHT, siblings=3)
+    d = Drive(UNSAFE, servers=2, load_report_fields=INFLIGHT, instance_count=3)
     served(d, 40)
     late = send_to(d, "s0")
     d.wait(800 * MS)
-    d.end(late, Outcome.OK, 800 * MS, attempt=0, report=(1.0,))
+    d.end(late, Outcome.OK, 800 * MS, attempt=0, load_report=(1.0,))
     assert "s0" in sends(d, 40)
 
 
@@ -100,20 +90,20 @@
         d = Drive(
             UNSAFE,
             servers=20,
-            report_fields=INFLIGHT,
-            siblings=4,
-            start_fraction=0.2,
+            load_report_fields=INFLIGHT,
+            instance_count=4,
+            warm_up_start_capacity=0.2,
             warm_up_us=100 * SECOND,
             seed=seed,
         )
         served(d, 200, held=0.0)
         crowded(d, 200)
-        d.list(Backend("new", started_at=d.now))
+        d.list(Endpoint("new", started_at_us=d.now))
         for _ in range(1000):
-            for s in only(d.request()[1], Send):
-                held = 0.0 if s.backend == "new" else 30.0
-                got += s.backend == "new"
-                d.end(s, Outcome.OK, int(20 * MS * max(1.0, held)), report=(held,))
+            for s in only(d.request()[1], SendAttempt):
+                held = 0.0 if s.endpoint_id == "new" else 30.0
+                got += s.endpoint_id == "new"
+                d.end(s, Outcome.OK, int(20 * MS * max(1.0, held)), load_report=(held,))
             d.wait(10 * MS)
     # In these ten seconds it can do some 100 at the least; the rule on cold servers bears thrice that.
     assert 50 <= got <= 200
@@ -121,28 +111,35 @@
 
 def test_what_was_heard_long_ago_does_not_keep_the_mean_up() -> None:
     # Servers shunned for what they held are not heard of again; new ones enter at the mean of the others.
-    d = Drive(UNSAFE, servers=12, report_fields=INFLIGHT, siblings=40)
+    d = Drive(UNSAFE, servers=12, load_report_fields=INFLIGHT, instance_count=40)
     served(d, 200, held=1.0)
     crowded(d, 60)
     table = d.balancer.table
     d.wait(20 * SECOND)
     for _ in range(400):  # one in thirteen of them has this balancer's part of the pass to idle servers
-        for s in only(d.request()[1], Send)[:1]:
-            if s.backend in ("s0", "s1"):
-                d.end(s, Outcome.OK, 20 * MS, report=(1.0,))
+        for s in only(d.request()[1], SendAttempt)[:1]:
+            if s.endpoint_id in ("s0", "s1"):
+                d.end(s, Outcome.OK, 20 * MS, load_report=(1.0,))
     assert table.mean < 6, table.mean
 
 
-def calls_of_a_fleet(siblings: int, seconds: int) -> list[float]:
+def calls_of_a_fleet(instance_count: int, seconds: int) -> list[float]:
     """When all balancers of a fleet that starts at once call a discovery that never answers."""
     calls: list[float] = []
-    for seed in range(siblings):
-        d = Drive(UNSAFE, servers=2, seed=seed, siblings=siblings, me=seed, discovery=Discovery.ASK)
+    for seed in range(instance_count):
+        d = Drive(
+            UNSAFE,
+            servers=2,
+            seed=seed,
+            instance_count=instance_count,
+            instance_index=seed,
+            discovery_mode=DiscoveryMode.POLL,
+        )
         asked = list(d.log)
         for _ in range(seconds * 100):
-            if only(asked, Watch):
+            if only(asked, WatchEndpoints):
                 calls.append((d.now - SECOND) / SECOND)
-                d.list(kind=ListKind.FAILED)
+                d.list(kind=ListUpdateKind.FAILED)
             asked = d.wait(10 * MS)
     return sorted(calls)
 
@@ -164,12 +161,17 @@
     # Of two hundred the last waited 19 s for its first call; all that drained meanwhile counted as told.
     for seed in range(20):
         d = Drive(
-            UNSAFE, servers=2, seed=seed, siblings=200, discovery=Discovery.ASK, ask_within_us=6 * SECOND
+            UNSAFE,
+            servers=2,
+            seed=seed,
+            instance_count=200,
+            discovery_mode=DiscoveryMode.POLL,
+            notified_after_us=6 * SECOND,
         )
-        assert only(d.log + d.wait(3 * SECOND), Watch)
+        assert only(d.log + d.wait(3 * SECOND), WatchEndpoints)
         for _ in range(6):
-            d.list(kind=ListKind.FAILED)
-            assert only(d.wait(9 * SECOND), Watch)
+            d.list(kind=ListUpdateKind.FAILED)
+            assert only(d.wait(9 * SECOND), WatchEndpoints)
 
 
 TOLD_US, CALL_US = 6 * SECOND, int(ANSWER_S * SECOND)  # as the agent on sockets sets them
@@ -181,69 +183,71 @@
         timer = min(d.timers)
         d.timers.remove(timer)
         d.now = timer[0]
-        if only(d.event(TimerFired(timer[1])), Watch):
+        if only(d.event(TimerFired(timer[1])), WatchEndpoints):
             return d.now
 
 
-def calls_that_fail(siblings: int, takes_us: int, count: int) -> list[list[int]]:
+def calls_that_fail(instance_count: int, takes_us: int, count: int) -> list[list[int]]:
     """When each balancer of a fleet whose watches broke at once calls a discovery that is down.
 
     Each call fails so long after it began.
     """
     fleet = []
-    for seed in range(siblings):
+    for seed in range(instance_count):
         d = Drive(
             UNSAFE,
             servers=2,
             seed=seed,
-            siblings=siblings,
-            me=seed,
-            discovery=Discovery.ASK,
-            ask_within_us=TOLD_US,
-            list_call_us=CALL_US,
+            instance_count=instance_count,
+            instance_index=seed,
+            discovery_mode=DiscoveryMode.POLL,
+            notified_after_us=TOLD_US,
+            list_call_timeout_us=CALL_US,
         )
-        if not only(d.log, Watch):
+        if not only(d.log, WatchEndpoints):
             next_call(d)
         d.now, calls = 10 * SECOND, list[int]()
-        d.list(kind=ListKind.FAILED)
+        d.list(kind=ListUpdateKind.FAILED)
         for _ in range(count):
             calls.append(next_call(d))
             d.now += takes_us
-            d.list(kind=ListKind.FAILED)
+            d.list(kind=ListUpdateKind.FAILED)
         fleet.append(calls)
     return fleet
 
 
-@pytest.mark.parametrize("siblings", [2, 20, 200, 6300])
-def test_after_an_outage_the_list_is_heard_of_before_it_counts_as_told(siblings: int) -> None:
+@pytest.mark.parametrize("instance_count", [2, 20, 200, 6300])
+def test_after_an_outage_the_list_is_heard_of_before_it_counts_as_told(instance_count: int) -> None:
     # Of two hundred each waited up to 9 s after a failed call, when 6 s after the end all counted as told.
-    connect_us, few = 250 * MS, siblings < 1000
+    connect_us, few = 250 * MS, instance_count < 1000
     # The outage may end right behind the beginning of any call, which fails all the same.
-    for calls in calls_that_fail(siblings, CALL_US, 12 if few else 4):
+    for calls in calls_that_fail(instance_count, CALL_US, 12 if few else 4):
         assert max(after - at for at, after in zip(calls, calls[1:], strict=False)) + CALL_US <= TOLD_US
     # A connection that does not come up fails sooner: then one more may, and the next is still in time.
-    for calls in calls_that_fail(siblings, connect_us, 12 if few else 4):
+    for calls in calls_that_fail(instance_count, connect_us, 12 if few else 4):
         assert max(after - at for at, after in zip(calls, calls[2:], strict=False)) <= TOLD_US
 
 
-@pytest.mark.parametrize("siblings", [200, 6300])
-def test_in_an_outage_the_calls_of_a_fleet_spread_over_the_time_there_is(siblings: int) -> None:
-    fleet = calls_that_fail(siblings, 0, 6)
+@pytest.mark.parametrize("instance_count", [200, 6300])
+def test_in_an_outage_the_calls_of_a_fleet_spread_over_the_time_there_is(instance_count: int) -> None:
+    fleet = calls_that_fail(instance_count, 0, 6)
     waits = [after - at for calls in fleet for at, after in zip(calls, calls[1:], strict=False)]
     spread = max(waits) - min(waits)
     assert spread >= TOLD_US / 5
     at = sorted(t for calls in fleet for t in calls)
     most = max(bisect_left(at, t + 100 * MS) - i for i, t in enumerate(at))
-    even = siblings * 100 * MS / spread
+    even = instance_count * 100 * MS / spread
     assert most <= 2 * even + 2 * sqrt(even), (most, even)  # with what is chance
 
 
 def test_a_list_that_is_at_hand_is_asked_for_at_once_however_large_the_fleet() -> None:
-    d = Drive(UNSAFE, servers=2, siblings=200, discovery=Discovery.ASK, lists_at_hand=True)
-    assert only(d.log, Watch)
+    d = Drive(
+        UNSAFE, servers=2, instance_count=200, discovery_mode=DiscoveryMode.POLL, discovery_is_local=True
+    )
+    assert only(d.log, WatchEndpoints)
     for _ in range(6):
-        d.list(kind=ListKind.FAILED)
-        assert only(d.wait(3 * SECOND), Watch)
+        d.list(kind=ListUpdateKind.FAILED)
+        assert only(d.wait(3 * SECOND), WatchEndpoints)
 
 
 def test_a_list_that_is_at_hand_is_asked_for_again_well_within_the_grace_for_drains() -> None:
@@ -254,28 +258,28 @@
                 UNSAFE,
                 servers=2,
                 seed=seed,
-                siblings=200,
-                discovery=Discovery.ASK,
-                lists_at_hand=True,
+                instance_count=200,
+                discovery_mode=DiscoveryMode.POLL,
+                discovery_is_local=True,
                 drain_grace_us=grace_us,
             )
             for _ in range(8):
-                d.list(kind=ListKind.FAILED)
-                assert only(d.wait(grace_us // 2), Watch)
+                d.list(kind=ListUpdateKind.FAILED)
+                assert only(d.wait(grace_us // 2), WatchEndpoints)
 
 
 def test_a_few_balancers_call_discovery_at_once() -> None:
-    d = Drive(UNSAFE, servers=2, siblings=4, discovery=Discovery.ASK)
-    assert only(d.log, Watch)
+    d = Drive(UNSAFE, servers=2, instance_count=4, discovery_mode=DiscoveryMode.POLL)
+    assert only(d.log, WatchEndpoints)
 
 
 def drawn(d: Drive, count: int, each_us: int) -> set[object]:
     """The servers that so many requests in a steady stream go to, each answered at once."""
     seen: set[object] = set()
     for _ in range(count):
-        for s in only(d.request()[1], Send):
-            seen.add(s.backend)
-            d.end(s, Outcome.OK, 20 * MS, report=(1.0,))
+        for s in only(d.request()[1], SendAttempt):
+            seen.add(s.endpoint_id)
+            d.end(s, Outcome.OK, 20 * MS, load_report=(1.0,))
         d.wait(each_us)
     return seen
 
@@ -283,42 +287,42 @@
 def test_a_balancer_with_few_requests_keeps_to_servers_that_it_sees_often() -> None:
     # With ten requests a second and 120 servers, what it learned of one had aged and its connection there
     # had closed long before the next visit.
-    assert len(drawn(Drive(UNSAFE, servers=120, siblings=200), 200, 100 * MS)) <= 30
+    assert len(drawn(Drive(UNSAFE, servers=120, instance_count=200), 200, 100 * MS)) <= 30
 
 
 def test_a_balancer_with_many_requests_uses_all_servers() -> None:
-    assert len(drawn(Drive(UNSAFE, servers=120, siblings=200), 2000, 5 * MS)) == 120
+    assert len(drawn(Drive(UNSAFE, servers=120, instance_count=200), 2000, 5 * MS)) == 120
 
 
 def test_all_balancers_together_use_all_servers_alike() -> None:
     uses: dict[object, int] = {}
     for seed in range(200):
-        for b in drawn(Drive(UNSAFE, servers=60, siblings=200, seed=seed), 30, 100 * MS):
+        for b in drawn(Drive(UNSAFE, servers=60, instance_count=200, seed=seed), 30, 100 * MS):
             uses[b] = uses.get(b, 0) + 1
     assert len(uses) == 60 and max(uses.values()) < 2 * min(uses.values())
 
 
 def test_the_list_of_a_small_fleet_is_used_whole() -> None:
-    assert len(drawn(Drive(UNSAFE, servers=17, siblings=4), 400, 500 * MS)) == 17
+    assert len(drawn(Drive(UNSAFE, servers=17, instance_count=4), 400, 500 * MS)) == 17
 
 
 def test_servers_that_are_out_give_their_places_to_others() -> None:
-    d = Drive(UNSAFE, servers=120, siblings=200)
+    d = Drive(UNSAFE, servers=120, instance_count=200)
     lost = drawn(d, 200, 100 * MS)
     seen: set[object] = set()
     for _ in range(400):
-        sent = only(d.request()[1], Send)
+        sent = only(d.request()[1], SendAttempt)
         while sent:
             s = sent.pop()
-            seen.add(s.backend)
-            how = Outcome.CONNECT_FAILED if s.backend in lost else Outcome.OK
-            sent += only(d.end(s, how, 20 * MS), Send)
+            seen.add(s.endpoint_id)
+            how = Outcome.CONNECT_FAILED if s.endpoint_id in lost else Outcome.OK
+            sent += only(d.end(s, how, 20 * MS), SendAttempt)
         d.wait(100 * MS)
     assert len(seen - lost) >= 15
 
 
-TILE = RequestClass("tile", 500 * MS, 2 * SECOND, Effect.UNSAFE, worth=3.0)
-ORDER = RequestClass("order", 500 * MS, 2 * SECOND, Effect.UNSAFE, worth=10.0)
+TILE = RequestClass("tile", 500 * MS, 2 * SECOND, Idempotency.NEVER, priority_weight=3.0)
+ORDER = RequestClass("order", 500 * MS, 2 * SECOND, Idempotency.NEVER, priority_weight=10.0)
 
 
 def held_at_once(d: Drive, request_class: int, count: int) -> int:
@@ -326,30 +330,30 @@
     sent = 0
     for _ in range(count):
         d.requests += 1
-        sent += len(only(d.event(RequestArrived(d.requests, request_class, SECOND)), Send))
+        sent += len(only(d.event(RequestArrived(d.requests, request_class, SECOND)), SendAttempt))
         d.wait(30 * MS)
     return sent
 
 
 def test_a_balancer_that_knows_nothing_has_out_no_more_than_its_part() -> None:
     # Of forty that restart each finds all servers empty: what they sent at once choked most of the fleet.
-    d = Drive(TILE, servers=60, siblings=40, others=(ORDER,))
+    d = Drive(TILE, servers=60, instance_count=40, others=(ORDER,))
     assert 4 <= held_at_once(d, 0, 30) <= 12
-    alone = Drive(TILE, servers=60, siblings=1, others=(ORDER,))
+    alone = Drive(TILE, servers=60, instance_count=1, others=(ORDER,))
     assert held_at_once(alone, 0, 30) == 30
 
 
 def test_the_class_that_is_worth_most_is_sent_when_the_part_of_the_others_is_used_up() -> None:
-    d = Drive(TILE, servers=60, siblings=40, others=(ORDER,))
+    d = Drive(TILE, servers=60, instance_count=40, others=(ORDER,))
     held_at_once(d, 0, 30)
     assert held_at_once(d, 0, 5) == 0
     assert held_at_once(d, 1, 2) == 2
 
 
 def test_an_answer_makes_room_for_the_next_request() -> None:
-    d = Drive(TILE, servers=60, siblings=40, others=(ORDER,))
+    d = Drive(TILE, servers=60, instance_count=40, others=(ORDER,))
     held_at_once(d, 0, 30)
-    first = only(d.log, Send)[0]
+    first = only(d.log, SendAttempt)[0]
     assert held_at_once(d, 0, 3) == 0
     d.end(first, Outcome.OK, 900 * MS)
     assert held_at_once(d, 0, 10) == 1  # after so slow an answer, one that has the pass to idle servers
@@ -379,19 +383,19 @@
     """How many of so many requests are sent, each to a server that then reports thirty in hand."""
     sent = 0
     for _ in range(count):
-        for s in only(d.request()[1], Send):
+        for s in only(d.request()[1], SendAttempt):
             sent += 1
-            d.end(s, Outcome.OK, 600 * MS, report=(30.0,))
+            d.end(s, Outcome.OK, 600 * MS, load_report=(30.0,))
         d.wait(5 * MS)
     return sent
 
 
 def test_a_crowded_server_is_not_tried_by_each_of_many_balancers() -> None:
     # Two hundred that each held none there kept choked servers slow to the end of the day.
-    d = Drive(UNSAFE, servers=17, report_fields=INFLIGHT, siblings=200)
+    d = Drive(UNSAFE, servers=17, load_report_fields=INFLIGHT, instance_count=200)
     tried_while_crowded(d, 200)
     assert tried_while_crowded(d, 200) <= 40
-    few = Drive(UNSAFE, servers=17, report_fields=INFLIGHT, siblings=2)
+    few = Drive(UNSAFE, servers=17, load_report_fields=INFLIGHT, instance_count=2)
     tried_while_crowded(few, 200)
     assert tried_while_crowded(few, 200) == 200
 
@@ -403,31 +407,31 @@
         d = Drive(
             UNSAFE,
             servers=170,
-            report_fields=INFLIGHT,
-            siblings=200,
-            start_fraction=0.2,
+            load_report_fields=INFLIGHT,
+            instance_count=200,
+            warm_up_start_capacity=0.2,
             warm_up_us=100 * SECOND,
             seed=seed,
         )
         crowded(d, 200)
         d.wait(10 * SECOND)
-        d.list(*[Backend(f"s{i}", started_at=d.now) for i in range(85)])
+        d.list(*[Endpoint(f"s{i}", started_at_us=d.now) for i in range(85)])
         for _ in range(300):
-            for s in only(d.request()[1], Send):
-                held = 0.0 if s.backend in cold else 30.0
-                got += s.backend in cold
-                d.end(s, Outcome.OK, int(20 * MS * max(1.0, held)), report=(held,))
+            for s in only(d.request()[1], SendAttempt):
+                held = 0.0 if s.endpoint_id in cold else 30.0
+                got += s.endpoint_id in cold
+                d.end(s, Outcome.OK, int(20 * MS * max(1.0, held)), load_report=(held,))
             d.wait(100 * MS)
     assert got >= 185
 
 
 def test_a_few_choked_servers_do_not_make_the_others_look_fast() -> None:
     # They report a hundred times the service time of the rest, and the mean was theirs.
-    d = Drive(UNSAFE, servers=17, report_fields=("inflight", "latency_ms"))
+    d = Drive(UNSAFE, servers=17, load_report_fields=("inflight", "latency_ms"))
     for _ in range(51):
-        for s in only(d.request()[1], Send):
-            choked = s.backend in ("s0", "s1", "s2")
-            d.end(s, Outcome.OK, 50 * MS, report=(1.0, 5000.0 if choked else 50.0))
+        for s in only(d.request()[1], SendAttempt):
+            choked = s.endpoint_id in ("s0", "s1", "s2")
+            d.end(s, Outcome.OK, 50 * MS, load_report=(1.0, 5000.0 if choked else 50.0))
         d.wait(20 * MS)
     table, servers = d.balancer.table, d.balancer.servers
     assert servers["s0"].service > 1000 and servers["s9"].samples
@@ -438,7 +442,7 @@
     # A floor of four each let two hundred balancers have out eight hundred at a hundred servers.
     held = {}
     for told in (1.0, 4.5):
-        d = Drive(TILE, servers=120, report_fields=INFLIGHT, siblings=200, others=(ORDER,))
+        d = Drive(TILE, servers=120, load_report_fields=INFLIGHT, instance_count=200, others=(ORDER,))
         served(d, 300, told)
         d.wait(8 * SECOND)
         held[told] = held_at_once(d, 0, 8)
@@ -450,13 +454,18 @@
     held = {}
     for left in (120, 48):
         d = Drive(
-            TILE, servers=120, report_fields=INFLIGHT, siblings=200, others=(ORDER,), warm_up_us=20 * SECOND
+            TILE,
+            servers=120,
+            load_report_fields=INFLIGHT,
+            instance_count=200,
+            others=(ORDER,),
+            warm_up_us=20 * SECOND,
         )
         for _ in range(200):
-            for s in only(d.request()[1], Send):
-                d.end(s, Outcome.OK, 20 * MS, report=(4.5,))
+            for s in only(d.request()[1], SendAttempt):
+                d.end(s, Outcome.OK, 20 * MS, load_report=(4.5,))
             d.wait(12 * MS)
-        d.list(*d.backends[:left], kind=ListKind.FULL)
+        d.list(*d.backends[:left], kind=ListUpdateKind.FULL)
         held[left] = held_at_once(d, 0, 60)
     assert 0 < held[48] <= 0.6 * held[120]
 
@@ -468,22 +477,22 @@
         d = Drive(
             UNSAFE,
             servers=20,
-            report_fields=INFLIGHT,
-            siblings=4,
-            start_fraction=0.2,
+            load_report_fields=INFLIGHT,
+            instance_count=4,
+            warm_up_start_capacity=0.2,
             warm_up_us=100 * SECOND,
-            fall_multiple=multiple,
-            fall_window_us=window_us,
+            overload_multiple=multiple,
+            overload_window_us=window_us,
             seed=seed,
         )
         served(d, 200, held=0.0)
         crowded(d, 200)
-        d.list(Backend("new", started_at=d.now))
+        d.list(Endpoint("new", started_at_us=d.now))
         for _ in range(1000):
-            for s in only(d.request()[1], Send):
-                held = 0.0 if s.backend == "new" else 30.0
-                at += [d.now] * (s.backend == "new")
-                d.end(s, Outcome.OK, int(20 * MS * max(1.0, held)), report=(held,))
+            for s in only(d.request()[1], SendAttempt):
+                held = 0.0 if s.endpoint_id == "new" else 30.0
+                at += [d.now] * (s.endpoint_id == "new")
+                d.end(s, Outcome.OK, int(20 * MS * max(1.0, held)), load_report=(held,))
             d.wait(10 * MS)
     at.sort()
     # Fifty a second warm, and a fifth of that at first.
@@ -500,27 +509,27 @@
     d = Drive(
         classes[0],
         servers=60,
-        report_fields=INFLIGHT,
-        siblings=40,
+        load_report_fields=INFLIGHT,
+        instance_count=40,
         others=classes[1:],
         warm_up_us=1000 * SECOND,
     )
-    rng, most = Random(1), max(c.worth for c in classes)
-    out: list[tuple[int, Send]] = []
+    rng, most = Random(1), max(c.priority_weight for c in classes)
+    out: list[tuple[int, SendAttempt]] = []
     sent = dict.fromkeys((c.name for c in classes), 0)
     for step in range(600):
         if step == 100:
-            d.list(*d.backends[:15], kind=ListKind.FULL)
-        came = [i for i, c in enumerate(classes) for _ in range(3 if c.worth == most else 1)]
+            d.list(*d.backends[:15], kind=ListUpdateKind.FULL)
+        came = [i for i, c in enumerate(classes) for _ in range(3 if c.priority_weight == most else 1)]
         rng.shuffle(came)
         for index in came:
             d.requests += 1
-            got = only(d.event(RequestArrived(d.requests, index, SECOND)), Send)
+            got = only(d.event(RequestArrived(d.requests, index, SECOND)), SendAttempt)
             out += [(d.now, s) for s in got]
             sent[classes[index].name] += len(got) if step >= 200 else 0
         d.wait(30 * MS)
         while out and out[0][0] <= d.now - took_us:
-            d.end(out.pop(0)[1], Outcome.OK, took_us, report=(1.0,))
+            d.end(out.pop(0)[1], Outcome.OK, took_us, load_report=(1.0,))
     return sent
 
 
@@ -532,10 +541,10 @@
 
 def test_so_it_is_whatever_the_classes_are_called_and_however_many() -> None:
     classes = (
-        RequestClass("z", 900 * MS, 2 * SECOND, worth=1.0),
-        RequestClass("a", 300 * MS, SECOND, worth=5.0),
-        RequestClass("m", 500 * MS, SECOND, Effect.UNSAFE),
-        RequestClass("k", 500 * MS, SECOND, worth=5.0),
+        RequestClass("z", 900 * MS, 2 * SECOND, priority_weight=1.0),
+        RequestClass("a", 300 * MS, SECOND, priority_weight=5.0),
+        RequestClass("m", 500 * MS, SECOND, Idempotency.NEVER),
+        RequestClass("k", 500 * MS, SECOND, priority_weight=5.0),
     )
     for first in range(len(classes)):
         sent = overloaded(classes[first:] + classes[:first], 60 * MS)
@@ -546,14 +555,14 @@
     # In a burst all balancers have more traffic at once, and each took the larger part for its own.
     part = {}
     for crowd in (1.0, 12.0):
-        d = Drive(TILE, servers=40, report_fields=INFLIGHT, siblings=200, others=(ORDER,))
+        d = Drive(TILE, servers=40, load_report_fields=INFLIGHT, instance_count=200, others=(ORDER,))
         for _ in range(300):
             number, actions = d.request()
             if number in d.balancer.requests:  # not refused
                 part[crowd] = d.balancer._part(d.balancer.requests[number])
-            for s in only(actions, Send):
-                told = crowd if int(str(s.backend)[1:]) % 3 else 1.0
-                d.end(s, Outcome.OK, 20 * MS, report=(told,))
+            for s in only(actions, SendAttempt):
+                told = crowd if int(str(s.endpoint_id)[1:]) % 3 else 1.0
+                d.end(s, Outcome.OK, 20 * MS, load_report=(told,))
             d.wait(12 * MS)
     assert 1.0 < part[12.0] <= 0.8 * part[1.0], part
 
@@ -563,15 +572,22 @@
     count, parts = 1500, 15
     used = {kind: set[int]() for kind in ("whole", "changes", "replaced")}
     for seed in range(60):
-        d = Drive(UNSAFE, servers=0, report_fields=INFLIGHT, siblings=1400, me=seed, seed=seed)
-        d.list(*[Backend(f"w{i}") for i in range(count)], kind=ListKind.FULL)
+        d = Drive(
+            UNSAFE,
+            servers=0,
+            load_report_fields=INFLIGHT,
+            instance_count=1400,
+            instance_index=seed,
+            seed=seed,
+        )
+        d.list(*[Endpoint(f"w{i}") for i in range(count)], kind=ListUpdateKind.FULL)
         for kind in used:
             if kind == "changes":
-                d.list(kind=ListKind.FULL)
+                d.list(kind=ListUpdateKind.FULL)
                 for first in range(0, count, 100):
-                    d.list(*[Backend(f"c{i}") for i in range(first, first + 100)])
+                    d.list(*[Endpoint(f"c{i}") for i in range(first, first + 100)])
             if kind == "replaced":
-                d.list(*[Backend(f"r{i}") for i in range(count)], kind=ListKind.FULL)
+                d.list(*[Endpoint(f"r{i}") for i in range(count)], kind=ListUpdateKind.FULL)
             for backend in sends(d, 20):
                 assert str(backend)[0] == kind[0]
                 used[kind].add(int(str(backend)[1:]) * parts // count)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -11,13 +11,12 @@
 from pathlib import Path
 
 import pytest
-from tests.loopback import KEYED, LOAD, UNSAFE, Conversation, Message, Peer, World, member, post, world
-
-from nickelmount.balancer.interface import TimerFired
 
-from nickelmount.agent.downstream import Client
 from nickelmount.agent.clock import Clock
-from nickelmount.agent.discovery import Listing, ListingParser
+from nickelmount.agent.discovery import EndpointList, EndpointListParser
+from nickelmount.agent.downstream import ClientConnection
+from nickelmount.balancer.events import TimerFired
+from tests.loopback import KEYED, LOAD, UNSAFE, Conversation, Message, Peer, World, member, post, world
 
 
 def by_fin(s: socket.socket) -> None:
@@ -41,9 +40,9 @@
 LEAVING = pytest.mark.parametrize("leave", [by_fin, by_reset, by_fin_behind_bytes, by_half_close])
 
 
-def listing(*peers: Peer) -> Listing:
+def listing(*peers: Peer) -> EndpointList:
     members = [member(f"s{i}", p.port) for i, p in enumerate(peers)]
-    parser = ListingParser(Clock(), ("a",), ("m",))
+    parser = EndpointListParser(Clock(), ("a",), ("m",))
     return parser.parse({"revision": 42, "complete": True, "members": members})
 
 
@@ -162,9 +161,9 @@
     async def run() -> None:
         async with world(tmp_path) as w:
             await kept_open(w)
-            came, accepted = w.server.came, list[Client]()
+            came, accepted = w.server.came, list[ClientConnection]()
 
-            def counted(client: Client) -> None:
+            def counted(client: ClientConnection) -> None:
                 accepted.append(client)
                 came(client)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,6 +11,7 @@
 from typing import Any
 
 import pytest
+
 from tests.loopback import Conversation, Peer, config_doc, member, post
 from tests.test_reload import Running, whole
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,17 +11,23 @@
 
 import pytest
 
-from nickelmount.balancer.interface import Backend, BackendsChanged, ListKind, RequestArrived, State
+from nickelmount.agent.clock import Clock
+from nickelmount.agent.config import config_from
+from nickelmount.agent.connection_pool import ConnectionPool
+from nickelmount.agent.discovery import Address, DiscoveryClient, EndpointList, EndpointListParser
+from nickelmount.agent.upstream import Upstream
 from nickelmount.balancer.balancer import Balancer, ColdBudget
-from nickelmount.fleet.experiment import Agents, Experiment
-from nickelmount.fleet.hollow_agents import Hollow
+from nickelmount.balancer.events import (
+    Endpoint,
+    EndpointsChanged,
+    EndpointStatus,
+    ListUpdateKind,
+    RequestArrived,
+)
 from nickelmount.fleet.agent_config import config
 from nickelmount.fleet.emulated_discovery import Standin
-from nickelmount.agent.upstream import Backends
-from nickelmount.agent.clock import Clock
-from nickelmount.agent.config import from_doc
-from nickelmount.agent.discovery import Address, Discovery, Listing, ListingParser
-from nickelmount.agent.connection_pool import Pool
+from nickelmount.fleet.experiment import Agents, Experiment
+from nickelmount.fleet.hollow_agents import Hollow
 from tests.helpers import SAFE, SECOND, Drive
 from tests.loopback import Peer, member
 
@@ -33,17 +39,17 @@
     return Drive(
         servers=0,
         seed=seed,
-        siblings=50,
-        start_fraction=0.2,
+        instance_count=50,
+        warm_up_start_capacity=0.2,
         warm_up_us=24 * SECOND,
-        report_fields=("inflight",),
+        load_report_fields=("inflight",),
         **settings,
     )
 
 
 def by_a_pass(b: Balancer, now: int) -> tuple[list[object], float]:
     """What the ready servers are and can do, by looking at each."""
-    ready = sorted((s for s in b.servers.values() if s.state is State.READY), key=lambda s: s.turn)
+    ready = sorted((s for s in b.servers.values() if s.status is EndpointStatus.READY), key=lambda s: s.turn)
     return [s.id for s in ready], sum(b.cold.warmth(s, now) for s in ready)
 
 
@@ -60,10 +66,10 @@
         changed = []
         for name in random.sample(names, random.choice((1, 1, 2, 15, 30))):
             start = random.choice((0, d.now, d.now - random.randrange(30 * SECOND), d.now + 2 * SECOND))
-            changed.append(Backend(name, random.choice(list(State)), started_at=start))
+            changed.append(Endpoint(name, random.choice(list(EndpointStatus)), started_at_us=start))
         if random.random() < 0.2:  # a whole list; whom it does not name is gone
-            changed = [b for b in changed if b.state is not State.GONE]
-            d.list(*changed, kind=ListKind.FULL)
+            changed = [b for b in changed if b.status is not EndpointStatus.REMOVED]
+            d.list(*changed, kind=ListUpdateKind.FULL)
         else:
             d.list(*changed)
         d.request()
@@ -72,7 +78,7 @@
         ready, capacity = by_a_pass(b, d.now)
         assert [s.id for s in b.ready] == ready
         assert b.capacity == pytest.approx(capacity)
-        assert set(b.leaving) == {s.id for s in b.servers.values() if s.state is State.GONE}
+        assert set(b.leaving) == {s.id for s in b.servers.values() if s.status is EndpointStatus.REMOVED}
 
 
 @pytest.mark.parametrize("event", ["change", "second"])
@@ -81,8 +87,8 @@
 ) -> None:
     d = drive(1)
     # Half of them are back just now.
-    started = [Backend(f"s{i}", started_at=d.now if i % 2 else 0) for i in range(LARGE)]
-    d.list(*started, kind=ListKind.FULL)
+    started = [Endpoint(f"s{i}", started_at_us=d.now if i % 2 else 0) for i in range(LARGE)]
+    d.list(*started, kind=ListUpdateKind.FULL)
     asked = 0
     warmth = ColdBudget.warmth
 
@@ -94,15 +100,15 @@
     monkeypatch.setattr(ColdBudget, "warmth", counted)
     d.now += 2 * SECOND
     if event == "change":
-        d.list(replace(started[7], state=State.DRAINING))
+        d.list(replace(started[7], status=EndpointStatus.DRAINING))
     else:
         d.event(RequestArrived(1, 0, SECOND))
     assert 0 < asked < 1000
 
 
 def test_a_start_by_a_clock_ahead_where_servers_need_no_warming_up_is_no_fault() -> None:
-    d = Drive(SAFE, servers=2, start_fraction=0.5, warm_up_us=0)
-    d.list(replace(d.backends[0], started_at=d.now + SECOND))
+    d = Drive(SAFE, servers=2, warm_up_start_capacity=0.5, warm_up_us=0)
+    d.list(replace(d.backends[0], started_at_us=d.now + SECOND))
     assert d.request()[1]
 
 
@@ -121,12 +127,12 @@
     return found
 
 
-def parser() -> ListingParser:
-    return ListingParser(CLOCK, ("a", "b"), ("m",))
+def parser() -> EndpointListParser:
+    return EndpointListParser(CLOCK, ("a", "b"), ("m",))
 
 
-def backends() -> Backends:
-    return Backends(CLOCK, (), Pool(CLOCK, 250_000, 10_000_000, 9))
+def backends() -> Upstream:
+    return Upstream(CLOCK, (), ConnectionPool(CLOCK, 250_000, 10_000_000, 9))
 
 
 def test_of_a_whole_list_the_module_is_told_what_has_changed() -> None:
@@ -135,11 +141,11 @@
     assert there.told(read.parse(whole(2, entries()))) == []
     changed = entries(member("s3", 9003, "DRAINING"), member("s4", 9004, up=77_000), member("s5", 9999))
     told = there.told(read.parse(whole(3, [m for m in changed if m["id"] != "s9"])))
-    assert [(b.id, b.state) for b in told] == [
-        ("s3", State.DRAINING),
-        ("s4", State.READY),
-        ("s5", State.READY),
-        ("s9", State.GONE),
+    assert [(b.id, b.status) for b in told] == [
+        ("s3", EndpointStatus.DRAINING),
+        ("s4", EndpointStatus.READY),
+        ("s5", EndpointStatus.READY),
+        ("s9", EndpointStatus.REMOVED),
     ]
     assert there.ready("s9") is None and there.ready("s3") is None
     (back,) = there.told(read.parse(whole(4, changed)))
@@ -157,7 +163,7 @@
     assert len(read._read) == 149
     broken = {**member("s8", 9000), "size": float("nan")}
     told = read.parse(whole(4, entries(broken)))  # was well before: what is wrong with it now counts
-    assert [m.backend.state for m in told.members if m.backend.id == "s8"] == [State.GONE]
+    assert [m.endpoint.status for m in told.members if m.endpoint.id == "s8"] == [EndpointStatus.REMOVED]
 
 
 def test_a_list_of_thousands_is_read_in_many_turns_of_the_loop() -> None:
@@ -185,8 +191,8 @@
     """A Discovery that watches a scripted peer."""
 
     def __init__(self, peer: Peer, revision: int) -> None:
-        self.discovery = Discovery(Address("127.0.0.1", peer.port), parser(), revision, 9.0)
-        self.told: list[Listing | None] = []
+        self.discovery = DiscoveryClient(Address("127.0.0.1", peer.port), parser(), revision, 9.0)
+        self.told: list[EndpointList | None] = []
 
     def watch(self) -> None:
         self.discovery.watch(self.told.append)
@@ -251,7 +257,7 @@
         try:
             begun = await standin.start(300, 7, 3, 4, 5, [9001], 10)
             doc = config(e, 0, begun["port"], {"revision": 0, "complete": True, "members": []})
-            agents = [Hollow(from_doc(doc, {}, CLOCK), CLOCK, i) for i in range(12)]
+            agents = [Hollow(config_from(doc, {}, CLOCK), CLOCK, i) for i in range(12)]
             for a in agents:
                 a.start()
             for _ in range(15):  # more than the history holds
@@ -280,11 +286,11 @@
 
 def test_a_whole_list_first_and_changes_first_end_alike() -> None:
     """The module's order is its own seed's, whichever way it heard of its servers."""
-    listed = [Backend(f"s{i}") for i in range(50)]
+    listed = [Endpoint(f"s{i}") for i in range(50)]
     one, other = drive(3), drive(3)
-    one.list(*listed, kind=ListKind.FULL)
+    one.list(*listed, kind=ListUpdateKind.FULL)
     for b in listed:
         other.list(b)
     assert [s.id for s in one.balancer.ready] == [s.id for s in other.balancer.ready]
-    other.event(BackendsChanged(ListKind.FULL, listed[:7]))
+    other.event(EndpointsChanged(ListUpdateKind.FULL, listed[:7]))
     assert {s.id for s in other.balancer.ready} == {f"s{i}" for i in range(7)}
