--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -20,36 +20,34 @@
     run_state_machine_as_test,
 )
 
-from nickelmount.balancer.balancer import Balancer
-from nickelmount.balancer.interface import (
+from nickelmount.balancer.actions import (
     Action,
+    CancelAttempt,
+    FailRequest,
+    FetchEndpoints,
+    LogMessage,
+    RejectRequest,
+    SendAttempt,
+    SendProbe,
+    SetTimer,
+    WatchEndpoints,
+)
+from nickelmount.balancer.balancer import Balancer
+from nickelmount.balancer.events import (
     AttemptEnded,
-    Backend,
-    BackendsChanged,
-    Cancel,
-    ClientGone,
-    Discovery,
-    Effect,
+    ClientDisconnected,
+    Endpoint,
+    EndpointsChanged,
+    EndpointStatus,
     Event,
-    Fail,
-    Fetch,
-    Group,
-    ListKind,
-    Log,
+    ListUpdateKind,
     Outcome,
-    Probe,
     ProbeEnded,
-    Refuse,
     RequestArrived,
-    RequestClass,
-    Send,
-    Settings,
-    SetTimer,
-    State,
-    StreamStarted,
+    ResponseStarted,
     TimerFired,
-    Watch,
 )
+from nickelmount.balancer.settings import DedupScope, DiscoveryMode, Idempotency, RequestClass, Settings
 
 MS, SECOND = 1_000, 1_000_000
 PROVEN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
@@ -57,7 +55,7 @@
 
 @dataclass
 class Attempt:
-    backend: Backend
+    endpoint: Endpoint
     sent_at: int
     ends_by: int
     ended: Outcome | None = None
@@ -77,57 +75,61 @@
 
     def __init__(self, told: Settings) -> None:
         self.told = told
-        self.listed: dict[Any, Backend] = {}
+        self.listed: dict[Any, Endpoint] = {}
         self.requests: dict[int, Taken] = {}
         self.arrivals: list[int] = []
         self.cold_sends: dict[Any, list[int]] = {}
         self.fewest_ready = 0  # since the last list event the share of each server has been at most 1 / this
 
-    def send(self, now: int, a: Send) -> None:
-        r, told = self.requests[a.request], self.told
+    def send(self, now: int, a: SendAttempt) -> None:
+        r, told = self.requests[a.request_id], self.told
         assert not r.answered, "rule 1: sent after the final answer"
         assert now < r.deadline, "rule 1: sent after the client's time"
         assert now + a.timeout_us <= r.deadline + told.answer_slack_us, "rule 1: may outlast the client"
         assert len(r.attempts) < told.max_attempts, "more attempts than allowed"
-        b = self.listed.get(a.backend)
+        b = self.listed.get(a.endpoint_id)
         assert b is not None, "sent to a server that no list has named"
-        assert b.state is State.READY, "rule 3: sent to a server that drains or is gone"
+        assert b.status is EndpointStatus.READY, "rule 3: sent to a server that drains or is gone"
         maybe = [x for x in r.attempts if x.ended not in PROVEN]
-        if r.cls.effect is Effect.UNSAFE:
+        if r.cls.idempotency is Idempotency.NEVER:
             assert not maybe, "rule 2: unsafe sent again though it may have run"
-        if r.cls.effect is Effect.KEYED and maybe:
-            assert now <= maybe[0].sent_at + r.cls.window_us, "rule 2: keyed sent again after its window"
+        if r.cls.idempotency is Idempotency.WITH_KEY and maybe:
+            assert now <= maybe[0].sent_at + r.cls.dedup_window_us, (
+                "rule 2: keyed sent again after its window"
+            )
             for x in maybe:
                 same = {
-                    Group.ALL: True,
-                    Group.ZONE: x.backend.zone == b.zone,
-                    Group.CELL: x.backend.cell == b.cell,
+                    DedupScope.ALL: True,
+                    DedupScope.ZONE: x.endpoint.zone == b.zone,
+                    DedupScope.CELL: x.endpoint.cell == b.cell,
                 }
-                assert same[r.cls.group], "rule 2: keyed sent outside its group"
-        if not told.second_copies:
+                assert same[r.cls.dedup_scope], "rule 2: keyed sent outside its group"
+        if not told.can_hedge:
             assert all(x.ended for x in r.attempts), "rule 2: two attempts out at once"
         r.attempts.append(Attempt(replace(b), now, now + a.timeout_us))
-        if b.started_at and now < b.started_at + told.warm_up_us:
+        if b.started_at_us and now < b.started_at_us + told.warm_up_us:
             self.cold(now, b)
 
-    def cold(self, now: int, b: Backend) -> None:
-        sends = self.cold_sends.setdefault((b.id, b.started_at), [])
+    def cold(self, now: int, b: Endpoint) -> None:
+        sends = self.cold_sends.setdefault((b.id, b.started_at_us), [])
         sends.append(now)
-        told, ramp = self.told, (now - b.started_at) / self.told.warm_up_us
-        warm = told.start_fraction + (1 - told.start_fraction) * ramp
-        window = [t for t in sends if t > now - told.fall_window_us]
-        seen = sum(t > now - told.fall_window_us for t in self.arrivals)
+        told, ramp = self.told, (now - b.started_at_us) / self.told.warm_up_us
+        warm = told.warm_up_start_capacity + (1 - told.warm_up_start_capacity) * ramp
+        window = [t for t in sends if t > now - told.overload_window_us]
+        seen = sum(t > now - told.overload_window_us for t in self.arrivals)
         part = seen / self.fewest_ready  # what a warm server would have been sent of this balancer's requests
-        assert len(window) <= told.fall_multiple * part * warm + 3, "rule 4: pushes over a cold server"
+        assert len(window) <= told.overload_multiple * part * warm + 3, "rule 4: pushes over a cold server"
 
-    def final(self, a: Refuse | Fail) -> None:
-        r = self.requests[a.request]
+    def final(self, a: RejectRequest | FailRequest) -> None:
+        r = self.requests[a.request_id]
         assert not r.answered, "rule 1: a second final answer"
-        if isinstance(a, Refuse):
+        if isinstance(a, RejectRequest):
             assert 0 <= a.retry_after_us <= self.told.max_retry_after_us
             if any(x.ended not in PROVEN for x in r.attempts):
-                safe = r.cls.effect is Effect.SAFE
-                assert safe or (r.cls.effect is Effect.KEYED and r.cls.group is Group.ALL), "rule 2: refused"
+                safe = r.cls.idempotency is Idempotency.ALWAYS
+                assert safe or (
+                    r.cls.idempotency is Idempotency.WITH_KEY and r.cls.dedup_scope is DedupScope.ALL
+                ), "rule 2: refused"
         r.answered = True
 
     def passed(self, now: int) -> None:
@@ -148,32 +150,32 @@
         cls = st.builds(
             RequestClass,
             name=st.uuids().map(str),
-            aim_us=st.sampled_from([1, 20 * MS, 300 * MS]),
+            latency_objective_us=st.sampled_from([1, 20 * MS, 300 * MS]),
             deadline_us=st.just(SECOND),
-            effect=st.sampled_from(Effect),
-            group=st.sampled_from(Group),
-            window_us=st.sampled_from([0, 1, 50 * MS, SECOND]),
-            worth=st.sampled_from([0.0, 1.0, 8.0]),
-            late_worth=st.sampled_from([0.0, 0.5]),
-            aim_stretch=st.sampled_from([0.0, 2.0]),
+            idempotency=st.sampled_from(Idempotency),
+            dedup_scope=st.sampled_from(DedupScope),
+            dedup_window_us=st.sampled_from([0, 1, 50 * MS, SECOND]),
+            priority_weight=st.sampled_from([0.0, 1.0, 8.0]),
+            late_weight=st.sampled_from([0.0, 0.5]),
+            objective_stretch=st.sampled_from([0.0, 2.0]),
         )
         tick = draw(st.sampled_from([0, MS, 5 * MS]))
         self.told = Settings(
             classes=tuple(draw(st.lists(cls, min_size=1, max_size=3))),
             tick_us=tick,
             answer_slack_us=draw(st.sampled_from([0, 4 * tick])),
-            discovery=draw(st.sampled_from(Discovery)),
-            siblings=draw(st.sampled_from([1, 3, 500])),
-            second_copies=draw(st.booleans()),
+            discovery_mode=draw(st.sampled_from(DiscoveryMode)),
+            instance_count=draw(st.sampled_from([1, 3, 500])),
+            can_hedge=draw(st.booleans()),
             can_cancel=draw(st.booleans()),
             can_probe=draw(st.booleans()),
             max_attempts=draw(st.integers(1, 4)),
-            retry_after=draw(st.booleans()),
-            capacity_hints=False,
-            report_fields=("inflight",),
-            start_fraction=draw(st.sampled_from([0.05, 0.5, 1.0])),
+            can_send_retry_after=draw(st.booleans()),
+            has_capacity_hints=False,
+            load_report_fields=("inflight",),
+            warm_up_start_capacity=draw(st.sampled_from([0.05, 0.5, 1.0])),
             warm_up_us=draw(st.sampled_from([0, SECOND, 10 * SECOND])),
-            fall_multiple=draw(st.sampled_from([0.5, 3.0])),
+            overload_multiple=draw(st.sampled_from([0.5, 3.0])),
         )
         self.tick, self.now, self.count = tick or 1, 100 * SECOND, 0
         self.timers: list[tuple[int, int]] = []
@@ -182,40 +184,40 @@
         self.checker = Checker(self.told)
         self.balancer = self.make(self.told, 1)
         n = draw(st.sampled_from([0, 1, 2, 7, 30]))
-        self.lists(ListKind.CACHED, [Backend(i, zone=i % 2, cell=i % 3) for i in range(n)])
+        self.lists(ListUpdateKind.CACHED, [Endpoint(i, zone=i % 2, cell=i % 3) for i in range(n)])
 
     def event(self, e: Event) -> None:
         for a in self.balancer.handle(self.now, e):
             self.act(a)
 
     def act(self, a: Action) -> None:
-        if isinstance(a, Send):
+        if isinstance(a, SendAttempt):
             self.checker.send(self.now, a)
-        elif isinstance(a, Refuse | Fail):
+        elif isinstance(a, RejectRequest | FailRequest):
             self.checker.final(a)
-        elif isinstance(a, Cancel):
+        elif isinstance(a, CancelAttempt):
             assert self.told.can_cancel
-            self.checker.requests[a.request].attempts[a.attempt].cancelled = True
+            self.checker.requests[a.request_id].attempts[a.attempt].cancelled = True
         elif isinstance(a, SetTimer):
             self.timers.append((self.now + a.delay_us, a.token))
-        elif isinstance(a, Probe):
-            assert self.told.can_probe and a.backend in self.checker.listed
-            self.probes.append(a.backend)
-        elif isinstance(a, Watch | Fetch):
+        elif isinstance(a, SendProbe):
+            assert self.told.can_probe and a.endpoint_id in self.checker.listed
+            self.probes.append(a.endpoint_id)
+        elif isinstance(a, WatchEndpoints | FetchEndpoints):
             self.calls += 1
         else:
-            assert isinstance(a, Log)
+            assert isinstance(a, LogMessage)
 
-    def lists(self, kind: ListKind, backends: list[Backend]) -> None:
+    def lists(self, kind: ListUpdateKind, backends: list[Endpoint]) -> None:
         known = self.checker.listed
-        if kind in (ListKind.FULL, ListKind.CACHED):
+        if kind in (ListUpdateKind.FULL, ListUpdateKind.CACHED):
             for b in known.values():
-                b.state = State.GONE
+                b.status = EndpointStatus.REMOVED
         for b in backends:
             known[b.id] = replace(b)
-        ready = sum(b.state is State.READY for b in known.values())
+        ready = sum(b.status is EndpointStatus.READY for b in known.values())
         self.checker.fewest_ready = min(self.checker.fewest_ready or ready, ready) or 1
-        self.event(BackendsChanged(kind, backends))
+        self.event(EndpointsChanged(kind, backends))
 
     def out(self) -> list[tuple[int, int, Attempt]]:
         return [
@@ -232,7 +234,7 @@
         finished = outcome is Outcome.OK and not r.answered
         r.answered = r.answered or finished
         took = self.now - x.sent_at
-        self.event(AttemptEnded(request, attempt, x.backend.id, outcome, took, finished, (3.0,)))
+        self.event(AttemptEnded(request, attempt, x.endpoint.id, outcome, took, finished, (3.0,)))
 
     @rule(many=st.integers(1, 12), cls=st.integers(0, 2), patience=st.sampled_from([0, 1, 30 * MS, SECOND]))
     def arrive(self, many: int, cls: int, patience: int) -> None:
@@ -260,21 +262,21 @@
         request, attempt, _ = data.draw(st.sampled_from(self.out()))
         if not self.checker.requests[request].answered:
             self.checker.requests[request].answered = True
-            self.event(StreamStarted(request, attempt))
+            self.event(ResponseStarted(request, attempt))
 
     @precondition(lambda self: self.checker.requests)
     @rule(data=st.data())
     def client_leaves(self, data: st.DataObject) -> None:
         request = data.draw(st.sampled_from(sorted(self.checker.requests)))
         self.checker.requests[request].answered = True
-        self.event(ClientGone(request))
+        self.event(ClientDisconnected(request))
 
-    @rule(data=st.data(), state=st.sampled_from(State), fresh=st.booleans(), whole=st.booleans())
-    def list_changes(self, data: st.DataObject, state: State, fresh: bool, whole: bool) -> None:
+    @rule(data=st.data(), status=st.sampled_from(EndpointStatus), fresh=st.booleans(), whole=st.booleans())
+    def list_changes(self, data: st.DataObject, status: EndpointStatus, fresh: bool, whole: bool) -> None:
         server = data.draw(st.sampled_from([0, 1, 2, 6, 31]))
-        b = Backend(server, state, server % 2, server % 3, started_at=self.now - 5 * MS if fresh else 0)
+        b = Endpoint(server, status, server % 2, server % 3, started_at_us=self.now - 5 * MS if fresh else 0)
         kept = [replace(x) for x in self.checker.listed.values() if x.id not in (server, 3)]
-        self.lists(ListKind.FULL if whole else ListKind.DELTA, [*kept, b] if whole else [b])
+        self.lists(ListUpdateKind.FULL if whole else ListUpdateKind.DELTA, [*kept, b] if whole else [b])
 
     @precondition(lambda self: self.probes)
     @rule(
@@ -291,7 +293,7 @@
     @rule(fails=st.booleans())
     def call_answered(self, fails: bool) -> None:
         self.calls -= 1
-        self.lists(ListKind.FAILED if fails else ListKind.DELTA, [])
+        self.lists(ListUpdateKind.FAILED if fails else ListUpdateKind.DELTA, [])
 
     @rule(us=st.sampled_from([1, MS, 10 * MS, 100 * MS, 700 * MS, 5 * SECOND]))
     def time_passes(self, us: int) -> None:
@@ -334,7 +336,7 @@
     """Breaks rule 1: forgets to answer what it would refuse."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        return [a for a in super().handle(now, event) if not isinstance(a, Refuse)]
+        return [a for a in super().handle(now, event) if not isinstance(a, RejectRequest)]
 
 
 class Trusting(Balancer):
@@ -350,8 +352,8 @@
     """Breaks rule 3: does not hear of drains."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        if isinstance(event, BackendsChanged):
-            event = replace(event, backends=[b for b in event.backends if b.state is State.READY])
+        if isinstance(event, EndpointsChanged):
+            event = replace(event, endpoints=[b for b in event.endpoints if b.status is EndpointStatus.READY])
         return super().handle(now, event)
 
 
@@ -362,12 +364,12 @@
         return True
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        if isinstance(event, BackendsChanged):
-            fresh = [b for b in event.backends if b.started_at]
+        if isinstance(event, EndpointsChanged):
+            fresh = [b for b in event.endpoints if b.started_at_us]
             event = replace(
                 event,
-                backends=[replace(b, started_at=0) for b in fresh or event.backends],
-                kind=ListKind.FULL if fresh else event.kind,
+                endpoints=[replace(b, started_at_us=0) for b in fresh or event.endpoints],
+                kind=ListUpdateKind.FULL if fresh else event.kind,
             )
         return super().handle(now, event)
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -12,7 +12,8 @@
 from pathlib import Path
 
 import pytest
-from nickelmount.agent.downstream import Client, ClientTimes
+
+from nickelmount.agent.downstream import ClientConnection, ClientTimeouts
 from tests.loopback import (
     KEYED,
     UNSAFE,
@@ -174,7 +175,7 @@
     asyncio.run(run())
 
 
-SOON = ClientTimes(sweep_s=0.005, silent_s=0.0, unfinished_s=0.0, linger_s=0.0, spare_s=0.0)
+SOON = ClientTimeouts(sweep_s=0.005, silent_s=0.0, unfinished_s=0.0, linger_s=0.0, spare_s=0.0)
 
 
 @pytest.mark.parametrize(
@@ -377,7 +378,7 @@
     asyncio.run(run())
 
 
-async def unread(w: World) -> tuple[Conversation, Client]:
+async def unread(w: World) -> tuple[Conversation, ClientConnection]:
     """A client that reads nothing, and its connection with an answer that the kernel has not taken whole."""
     s = socket.socket()
     s.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,47 +6,42 @@
 from typing import Any
 
 import pytest
+
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.discovery import ANSWER_S
-from tests.helpers import MS, SAFE, SECOND, UNSAFE, Drive, only
-from tests.loopback import config_doc, load_config, settings as wire_settings
-
-from nickelmount.balancer.interface import (
-    Backend,
-    BackendsChanged,
-    ClientGone,
-    Discovery,
-    Fail,
-    Group,
-    ListKind,
+from nickelmount.balancer.actions import FailRequest, RejectRequest, SendAttempt, WatchEndpoints
+from nickelmount.balancer.events import (
+    ClientDisconnected,
+    Endpoint,
+    EndpointsChanged,
+    ListUpdateKind,
     Outcome,
-    Prices,
-    Refuse,
     RequestArrived,
-    Send,
-    Settings,
     TimerFired,
-    Watch,
 )
+from nickelmount.balancer.settings import DedupScope, DiscoveryMode, Prices, Settings
 from nickelmount.protocol.settings import settings_from
+from tests.helpers import MS, SAFE, SECOND, UNSAFE, Drive, only
+from tests.loopback import config_doc, load_config
+from tests.loopback import settings as wire_settings
 
 
 @pytest.mark.parametrize(
     "name, value",
     [
-        ("siblings", 0),
+        ("instance_count", 0),
         ("max_attempts", 0),
-        ("start_fraction", 0.0),
-        ("start_fraction", 1.5),
+        ("warm_up_start_capacity", 0.0),
+        ("warm_up_start_capacity", 1.5),
         ("warm_up_us", -1),
-        ("fall_multiple", 0.0),
-        ("fall_multiple", float("inf")),
-        ("me", 1),
-        ("fall_window_us", 0),
+        ("overload_multiple", 0.0),
+        ("overload_multiple", float("inf")),
+        ("instance_index", 1),
+        ("overload_window_us", 0),
         ("tick_us", -1),
-        ("ask_within_us", 0),
-        ("list_call_us", -1),
-        ("list_call_us", 5_000_000),
+        ("notified_after_us", 0),
+        ("list_call_timeout_us", -1),
+        ("list_call_timeout_us", 5_000_000),
     ],
 )
 def test_out_of_range_names_the_field(name: str, value: float) -> None:
@@ -59,35 +54,35 @@
 def test_no_server_holds_then_refuses_before_the_aim(cls: Any) -> None:
     d = Drive(cls, servers=0)
     request, actions = d.request()
-    assert not only(actions, Send) and not only(actions, Refuse)
+    assert not only(actions, SendAttempt) and not only(actions, RejectRequest)
     later = d.wait(500 * MS)
-    assert [a.request for a in only(later, Refuse)] == [request] and not only(later, Fail)
+    assert [a.request_id for a in only(later, RejectRequest)] == [request] and not only(later, FailRequest)
 
 
 def test_a_held_request_goes_to_the_first_server_named() -> None:
     d = Drive(servers=0)
     d.request()
-    d.list(Backend("late"))
-    assert [s.backend for s in only(d.wait(100 * MS), Send)] == ["late"]
+    d.list(Endpoint("late"))
+    assert [s.endpoint_id for s in only(d.wait(100 * MS), SendAttempt)] == ["late"]
 
 
 def test_the_only_server_is_used_though_it_fails() -> None:
     d = Drive(servers=1)
     for _ in range(6):
         _, actions = d.request()
-        for s in only(actions, Send):
+        for s in only(actions, SendAttempt):
             d.end(s, Outcome.RESET)
         d.wait(100 * MS)
-    assert len(only(d.log, Send)) >= 4
+    assert len(only(d.log, SendAttempt)) >= 4
 
 
 def test_a_failed_list_call_is_repeated_soon_and_only_then() -> None:
-    d = Drive(discovery=Discovery.ASK)
-    assert len(only(d.log, Watch)) == 1
+    d = Drive(discovery_mode=DiscoveryMode.POLL)
+    assert len(only(d.log, WatchEndpoints)) == 1
     d.wait(10 * SECOND)
-    assert len(only(d.log, Watch)) == 1
-    d.event(BackendsChanged(ListKind.FAILED, []))
-    assert len(only(d.wait(SECOND), Watch)) == 1
+    assert len(only(d.log, WatchEndpoints)) == 1
+    d.event(EndpointsChanged(ListUpdateKind.FAILED, []))
+    assert len(only(d.wait(SECOND), WatchEndpoints)) == 1
 
 
 def test_prices_out_of_range_name_the_field() -> None:
@@ -119,9 +114,9 @@
 
 def test_what_is_no_longer_held_is_passed_over() -> None:
     d = Drive()
-    send = only(d.request()[1], Send)[0]
+    send = only(d.request()[1], SendAttempt)[0]
     d.end(send, Outcome.OK)
-    assert not d.end(send, Outcome.OK) and not d.event(ClientGone(send.request))
+    assert not d.end(send, Outcome.OK) and not d.event(ClientDisconnected(send.request_id))
     assert not d.event(TimerFired(5))
 
 
@@ -135,7 +130,7 @@
         for change in changes:
             first = {k: v for k, v in full["profiles"][0].items() if k != key} | change
             cls = settings_from(full | {"profiles": [first]}).classes[0]
-            assert cls.group is Group.ALL and cls.late_worth == 0.0
+            assert cls.dedup_scope is DedupScope.ALL and cls.late_weight == 0.0
 
 
 def test_a_configuration_without_a_list_starts_with_none(tmp_path: Path) -> None:
@@ -152,5 +147,5 @@
     doc = config_doc(9, [])
     doc["settings"]["rules"]["askWithinUs"] = within_us
     settings = load_config(tmp_path, doc, Clock()).settings
-    assert settings.ask_within_us == told_us
-    assert settings.list_call_us == min(int(ANSWER_S * SECOND), told_us // 3)
+    assert settings.notified_after_us == told_us
+    assert settings.list_call_timeout_us == min(int(ANSWER_S * SECOND), told_us // 3)
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -12,14 +12,14 @@
 from pathlib import Path
 
 import pytest
+
+from nickelmount.agent import listener as server_module
+from nickelmount.agent.listener import ShutdownTimes
 from tests.loopback import UNSAFE, Conversation, Peer, config_doc, member, post, world
 from tests.test_leaving import Caller, listing, taken
 from tests.test_reload import Running, whole
 
-from nickelmount.agent import listener as server_module
-from nickelmount.agent.listener import DrainTimes
-
-NOW = DrainTimes(idle_s=0.0, serve_s=0.0, end_s=30.0)
+NOW = ShutdownTimes(idle_s=0.0, serve_s=0.0, end_s=30.0)
 
 
 async def read_all(s: socket.socket) -> bytes:
@@ -140,7 +140,7 @@
             w.agent._listed(listing())
             held = await w.ask(post(UNSAFE, Request_Id="9b20"))
             await taken(w, 2)
-            stop = asyncio.create_task(w.server.drain(DrainTimes(0.0, 0.0, 0.05)))
+            stop = asyncio.create_task(w.server.drain(ShutdownTimes(0.0, 0.0, 0.05)))
             assert (await sent.read()).status == 500
             assert (await held.read()).status == 503
             sent.close()
