--- a/nickelmount/agent/agent.py
+++ b/nickelmount/agent/agent.py
@@ -83,15 +83,15 @@
         }
 
     def start(self, known: EndpointList) -> None:
-        self._post(EndpointsChanged(ListUpdateKind.CACHED, self._backends.told(known)))
+        self._post(EndpointsChanged(ListUpdateKind.CACHED, self._backends.apply(known)))
 
-    def move(self, discovery: Address) -> None:
+    def change_discovery(self, discovery: Address) -> None:
         """Learn of backends there from now on."""
-        self._discovery.move(discovery, self._listed)
+        self._discovery.change_address(discovery, self._listed)
 
     # The application's side
 
-    def take(self, call: ClientRequest) -> None:
+    def accept(self, call: ClientRequest) -> None:
         self._taken += 1
         call.number = self._taken
         overdue = self._loop.call_later(call.timeout_us / 1e6 + OVERDUE_S, self._overdue, call.number)
@@ -107,11 +107,11 @@
             )
         )
 
-    def leave(self, call: ClientRequest) -> None:
+    def client_left(self, call: ClientRequest) -> None:
         if self._over(call.number) is not None:
             self._post(ClientDisconnected(call.number))
 
-    def give_up_all(self) -> None:
+    def finish_all(self) -> None:
         for number, held in list(self._held.items()):
             if held.attempts:
                 self._give_up(number)
@@ -184,20 +184,25 @@
             # Its answer was given while the module's events waited in the queue. The module counts what it
             # has out by the ends that it is told.
             return self._not_sent(a)
-        if held.call.gone():
+        if held.call.client_has_left():
             # Not read yet: its close came while the loop was busy with others.
-            self.leave(held.call)
+            self.client_left(held.call)
             return self._not_sent(a)
         number, attempt, call = a.request_id, a.attempt, held.call
         held.attempts = attempt + 1
         ask = UpstreamRequest(
-            call.method, call.target, call.headers, call.body, told_timeout=True, gone=call.gone
+            call.method,
+            call.target,
+            call.headers,
+            call.body,
+            told_timeout=True,
+            client_has_left=call.client_has_left,
         )
 
         def done(result: ExchangeResult) -> None:
             self._out.pop((number, attempt), None)
-            if result.outcome is Outcome.NOT_SENT and call.gone():
-                self.leave(call)
+            if result.outcome is Outcome.NOT_SENT and call.client_has_left():
+                self.client_left(call)
             self._attempt_ended(number, attempt, a.endpoint_id, result)
 
         exchange = self._backends.exchange(a.endpoint_id, ask, a.timeout_us, done)
@@ -260,7 +265,7 @@
             self._post(EndpointsChanged(ListUpdateKind.FAILED, []))
             return
         # Of a whole list, too, the module is told what it changes.
-        self._post(EndpointsChanged(ListUpdateKind.DELTA, self._backends.told(listing)))
+        self._post(EndpointsChanged(ListUpdateKind.DELTA, self._backends.apply(listing)))
 
     def _log(self, a: LogMessage) -> None:
         log.info("%s", a.text)
--- a/nickelmount/agent/config.py
+++ b/nickelmount/agent/config.py
@@ -24,12 +24,12 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # file descriptors this process may hold
-    known: EndpointList
-    parser: EndpointListParser
+    max_sockets: int  # file descriptors this process may hold
+    known_list: EndpointList
+    list_parser: EndpointListParser
     settings: Settings
     connect_timeout_us: int
-    conn_idle_us: int
+    idle_timeout_us: int
 
 
 def load(env: Mapping[str, str], clock: Clock) -> Config:
@@ -66,10 +66,10 @@
         listen=parse_address(env.get("RELAY_LISTEN") or doc["listen"]),
         discovery=parse_address(env.get("RELAY_DISCOVERY") or doc["discovery"]),
         seed=int(doc["seed"], 16),
-        sockets=int((doc.get("limits") or {}).get("sockets") or 1024),
+        max_sockets=int((doc.get("limits") or {}).get("sockets") or 1024),
         # Without one it begins with none, and asks for all that has ever changed.
-        known=parser.parse(doc.get("known") or {"revision": 0, "complete": True, "members": []}),
-        parser=parser,
+        known_list=parser.parse(doc.get("known") or {"revision": 0, "complete": True, "members": []}),
+        list_parser=parser,
         # The agent has no channel to its peers, so the module must not count on one. Nor does a list come by
         # itself on sockets: where the simulator pushes it, here it is to be watched all the same, but from an
         # agent on this machine, which answers at once and at no cost.
@@ -82,5 +82,5 @@
             list_call_timeout_us=min(int(ANSWER_S * 1e6), told_us // 3),
         ),
         connect_timeout_us=int(allowed["connectTimeoutUs"]),
-        conn_idle_us=int(allowed["connIdleUs"]),
+        idle_timeout_us=int(allowed["connIdleUs"]),
     )
--- a/nickelmount/agent/connection.py
+++ b/nickelmount/agent/connection.py
@@ -19,19 +19,19 @@
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.written = True  # the kernel has taken all bytes
+        self.all_written = True  # the kernel has taken all bytes
         self.closed = False
-        self.deaf = False  # what still comes in is dropped
+        self.discards_input = False  # what still comes in is dropped
 
     # What a role adds
 
     def on_data(self, data: bytes) -> None:
         """Bytes from the peer."""
 
-    def on_fault(self) -> None:
+    def on_handler_error(self) -> None:
         """Handling them raised."""
 
-    def on_end(self) -> None:
+    def on_peer_closed(self) -> None:
         """The peer has closed or reset the connection. May come twice."""
 
     # asyncio's side
@@ -45,24 +45,24 @@
         return _BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        if self.deaf:
+        if self.discards_input:
             return
         try:
             self.on_data(bytes(_BUFFER[:nbytes]))
         except Exception:  # a fault in one connection must not pass for the peer's leaving, nor vanish
             log.exception("connection failed")
-            self.deaf = True
-            self.on_fault()
+            self.discards_input = True
+            self.on_handler_error()
 
     def eof_received(self) -> None:
-        self.on_end()
+        self.on_peer_closed()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        self.on_end()
+        self.on_peer_closed()
 
     def resume_writing(self) -> None:
-        self.written = True
+        self.all_written = True
 
     # For the roles
 
@@ -71,9 +71,9 @@
         assert self.transport is not None
         self.transport.write(data)
         # A write that fails empties the buffer too: then the transport is closing.
-        self.written = not self.transport.is_closing() and self.transport.get_write_buffer_size() == 0
+        self.all_written = not self.transport.is_closing() and self.transport.get_write_buffer_size() == 0
 
-    def quiet(self) -> bool:
+    def nothing_to_read(self) -> bool:
         """Whether the kernel has nothing to read for it, not even the peer's close."""
         if self.transport is None or self.transport.is_closing():
             return False
@@ -81,7 +81,7 @@
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLHUP)
         return not poll.poll(0)
 
-    def gone(self) -> bool:
+    def peer_has_closed(self) -> bool:
         """Whether the kernel knows that the peer has closed or reset it, be it behind bytes not read yet."""
         if self.closed or self.transport is None or self.transport.is_closing():
             return True
@@ -89,11 +89,11 @@
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
         return bool(poll.poll(0))  # a reset is told unasked
 
-    def end(self) -> None:
+    def finish_sending(self) -> None:
         """Send nothing more; what still comes in is read and dropped. A close on unread bytes would reset
         away what the peer has not read yet."""
         assert self.transport is not None
-        self.deaf = True
+        self.discards_input = True
         with suppress(OSError):  # the peer may have reset it already
             self.transport.write_eof()
 
@@ -102,10 +102,10 @@
         if self.transport is not None:
             self.transport.close()
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Close at once, in the eyes of the peer too: the transport itself closes only a turn later, when the
         next attempt of the same request may be out already."""
-        self.deaf = self.closed = True
+        self.discards_input = self.closed = True
         if self.transport is None or self.transport.is_closing():
             return
         with suppress(OSError):  # the peer may have reset it already
--- a/nickelmount/agent/connection_pool.py
+++ b/nickelmount/agent/connection_pool.py
@@ -24,12 +24,12 @@
 class ConnectionOwner(Protocol):
     """Who has the connection in hand."""
 
-    def on_answer(self, answer: HttpMessage) -> None: ...
+    def on_response(self, answer: HttpMessage) -> None: ...
 
-    def on_spoilt(self) -> None:
+    def on_unusable_response(self) -> None:
         """What comes is no answer that can be used; the connection is still open."""
 
-    def on_end(self) -> None:
+    def on_peer_closed(self) -> None:
         """The backend has closed it."""
 
 
@@ -51,41 +51,41 @@
             return self._pool.discard(self)
         whole = self._reader.feed(data)
         if whole:
-            more = len(whole) > 1 or self._reader.current is not None or self._reader.error is not None
+            more = len(whole) > 1 or self._reader.incomplete is not None or self._reader.error is not None
             self.clean = whole[0].keep_alive and not more
-            self.user.on_answer(whole[0])
+            self.user.on_response(whole[0])
         elif self._reader.error is not None:
             self.clean = False
-            self.user.on_spoilt()
+            self.user.on_unusable_response()
 
-    def on_fault(self) -> None:
+    def on_handler_error(self) -> None:
         self.clean = False
         if self.user is not None:
-            self.user.on_spoilt()
+            self.user.on_unusable_response()
         self._pool.discard(self)
 
-    def on_end(self) -> None:
+    def on_peer_closed(self) -> None:
         self.closed = True
         if self.user is not None:
-            self.user.on_end()
+            self.user.on_peer_closed()
         else:
             self._pool.discard(self)
 
     def usable(self) -> bool:
         """Idle and, as far as the kernel knows, open: one with anything to read was closed by the peer, or
         holds what no one asked for."""
-        return not self.closed and self.quiet()
+        return not self.closed and self.nothing_to_read()
 
 
 class ConnectionPool:
     """The connections to all backends."""
 
     def __init__(
-        self, clock: Clock, connect_timeout_us: int, conn_idle_us: int, most: int, rest_us: int = REST_US
+        self, clock: Clock, connect_timeout_us: int, idle_timeout_us: int, most: int, rest_us: int = REST_US
     ) -> None:
         self._clock = clock
         self._connect_s = connect_timeout_us / 1e6
-        self._idle_us = int(conn_idle_us * IDLE_SHARE)
+        self._idle_us = int(idle_timeout_us * IDLE_SHARE)
         self._rest_us = rest_us
         self._most = most  # connections at once, so that descriptors are left for clients
         self._idle: dict[EndpointId, list[PooledConnection]] = {}
@@ -140,7 +140,7 @@
             not answered
             or not connection.clean
             or connection.closed
-            or not connection.written
+            or not connection.all_written
             or not connection.member.same_process(ready)
         ):
             return self.discard(connection)
@@ -165,4 +165,4 @@
         if not kept:
             self._idle.pop(backend, None)
         self._open.discard(connection)
-        connection.drop()
+        connection.abort()
--- a/nickelmount/agent/discovery.py
+++ b/nickelmount/agent/discovery.py
@@ -20,7 +20,7 @@
 
 from .clock import Clock
 from .connection import Connection
-from .http import HttpReader, request
+from .http import HttpReader, encode_request
 
 log = logging.getLogger(__name__)
 
@@ -64,7 +64,7 @@
 
     revision: int
     complete: bool
-    members: tuple[ListedEndpoint, ...]
+    entries: tuple[ListedEndpoint, ...]
 
 
 def parse_address(text: str) -> Address:
@@ -113,7 +113,7 @@
         told = tuple(m for m in members if m is not None)
         listing = EndpointList(int(doc["revision"]), bool(doc["complete"]), told)
         if listing.complete:
-            named = {m.endpoint.id for m in listing.members}
+            named = {m.endpoint.id for m in listing.entries}
             self._read = {name: read for name, read in self._read.items() if name in named}
         return listing
 
@@ -188,7 +188,7 @@
     async def get(self, target: str) -> bytes:
         """The body of a 200; anything else raises."""
         self._answer = asyncio.get_running_loop().create_future()
-        self.send(request(b"GET", target.encode(), [(b"Host", b"discovery")]))
+        self.send(encode_request(b"GET", target.encode(), [(b"Host", b"discovery")]))
         return await self._answer
 
     def on_data(self, data: bytes) -> None:
@@ -200,17 +200,17 @@
             return
         answer = whole[0]
         if not answer.keep_alive or len(whole) > 1 or self._reader.error is not None:
-            self.closed = self.deaf = True
+            self.closed = self.discards_input = True
         self._end(None if answer.status == 200 else ConnectionError(f"status {answer.status}"), answer.body)
 
-    def on_fault(self) -> None:
+    def on_handler_error(self) -> None:
         self._broken(ConnectionError("fault while reading"))
 
-    def on_end(self) -> None:
+    def on_peer_closed(self) -> None:
         self._broken(ConnectionError("connection ended"))
 
     def _broken(self, error: Exception) -> None:
-        self.closed = self.deaf = True
+        self.closed = self.discards_input = True
         self._end(error)
 
     def _end(self, error: Exception | None, body: bytes | bytearray = b"") -> None:
@@ -257,7 +257,7 @@
         self._fetches.add(task)
         task.add_done_callback(self._fetches.discard)
 
-    def move(self, address: Address, told: Callable[[EndpointList | None], None]) -> None:
+    def change_address(self, address: Address, told: Callable[[EndpointList | None], None]) -> None:
         """Leave the old address, whose calls end unreported, and begin at the new one with the whole list:
         versions of the one mean nothing to the other."""
         if address == self._address:
@@ -286,7 +286,7 @@
                     except TimeoutError:
                         # Silent is no sign of a crowd: opened anew at once, and what it missed is asked for.
                         log.warning("watch of discovery fell silent; opened anew")
-                        call.drop()
+                        call.abort()
                         call, self._anew = None, True
                         continue
                 # Not timed: it has come, and how long it takes to read is this agent's affair.
@@ -297,7 +297,7 @@
                     held, self._revision = self._revision, None
                     raise ConnectionError(f"revision {listing.revision} is older than {held}")
                 self._revision = listing.revision
-                if listing.members or listing.complete:
+                if listing.entries or listing.complete:
                     told(listing)
         except Exception as e:
             _failed(e)
@@ -306,7 +306,7 @@
             self._anew = self._spread is not None
         finally:
             if call is not None:
-                call.drop()
+                call.abort()
         self._watching = None  # before the report: the answer to it may be the next watch
         told(None)
 
@@ -335,7 +335,7 @@
             _failed(e)
         finally:
             if call is not None:
-                call.drop()
+                call.abort()
         told(listing)
 
     async def _connected(self, call: _DiscoveryConnection | None) -> _DiscoveryConnection:
@@ -343,7 +343,7 @@
         if call is not None:
             if not call.closed:
                 return call
-            call.drop()
+            call.abort()
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(min(self._connect_s, ANSWER_S)):
             _, call = await loop.create_connection(
--- a/nickelmount/agent/http.py
+++ b/nickelmount/agent/http.py
@@ -29,18 +29,18 @@
 class HttpMessage:
     """A request or an answer."""
 
-    __slots__ = ("method", "target", "status", "fields", "repeated", "body", "keep_alive")
+    __slots__ = ("method", "target", "status", "headers", "repeated_headers", "body", "keep_alive")
 
     def __init__(self) -> None:
         self.method = self.target = b""
         self.status = 0
-        self.fields: dict[bytes, bytes] = {}  # by name in lower case; the first of each
-        self.repeated: set[bytes] = set()
+        self.headers: dict[bytes, bytes] = {}  # by name in lower case; the first of each
+        self.repeated_headers: set[bytes] = set()
         self.body = bytearray()
         self.keep_alive = False
 
     def header(self, name: bytes) -> str | None:
-        value = self.fields.get(name)
+        value = self.headers.get(name)
         return None if value is None else value.decode("latin-1")
 
 
@@ -59,7 +59,7 @@
         self._head_bytes = self._unfinished = 0  # of a head: its lines so far, all that came without its end
         self._body_bytes = 0  # of all messages
         self._interim = 0
-        self.current: HttpMessage | None = None  # begun and not complete
+        self.incomplete: HttpMessage | None = None  # begun and not complete
         self.error: HttpError | None = None
 
     def feed(self, data: bytes) -> list[HttpMessage]:
@@ -75,7 +75,7 @@
         except HttpParserError as e:
             # A limit that a callback found comes wrapped in an error of the parser's.
             self.error = self.error or HttpError(400, f"malformed message: {e}")
-        if self.current is not None:
+        if self.incomplete is not None:
             # In a body what brings none of it: of a trailer the parser keeps all, and it may never end.
             self._unfinished = self._unfinished + len(data) if self._body_bytes == had else 0
             if self._unfinished > HEAD_LIMIT:
@@ -88,27 +88,27 @@
     # llhttp's side
 
     def on_message_begin(self) -> None:
-        self.current, self.in_body = HttpMessage(), False
+        self.incomplete, self.in_body = HttpMessage(), False
         self._head_bytes = self._unfinished = 0
 
     def on_url(self, url: bytes) -> None:
-        assert self.current is not None
-        self.current.target += url
+        assert self.incomplete is not None
+        self.incomplete.target += url
         self._bound(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.in_body:  # a trailer
             return
-        assert self.current is not None
+        assert self.incomplete is not None
         self._bound(len(name) + len(value) + 4)
         name = name.lower()
-        if name in self.current.fields:
-            self.current.repeated.add(name)
+        if name in self.incomplete.headers:
+            self.incomplete.repeated_headers.add(name)
         else:
-            self.current.fields[name] = value
+            self.incomplete.headers[name] = value
 
     def on_headers_complete(self) -> None:
-        message, parser = self.current, self._parser
+        message, parser = self.incomplete, self._parser
         assert message is not None
         self.in_body = True
         if parser.get_http_version() not in ("1.1", "1.0"):
@@ -118,22 +118,22 @@
         else:
             message.status = parser.get_status_code()
             bodiless = message.status < 200 or message.status in (204, 304)
-            if not bodiless and message.fields.keys().isdisjoint((b"content-length", b"transfer-encoding")):
+            if not bodiless and message.headers.keys().isdisjoint((b"content-length", b"transfer-encoding")):
                 # It would end with the connection: one cut short could not be told from a whole one.
                 self._stop(502, "answer of unknown length")
-        if int(message.fields.get(b"content-length", 0)) > self._body_limit:
+        if int(message.headers.get(b"content-length", 0)) > self._body_limit:
             self._stop(413, "body too large")
         message.keep_alive = parser.should_keep_alive()
 
     def on_body(self, body: bytes) -> None:
-        assert self.current is not None
-        self.current.body += body
+        assert self.incomplete is not None
+        self.incomplete.body += body
         self._body_bytes += len(body)
-        if len(self.current.body) > self._body_limit:
+        if len(self.incomplete.body) > self._body_limit:
             self._stop(413, "body too large")
 
     def on_message_complete(self) -> None:
-        message, self.current = self.current, None
+        message, self.incomplete = self.incomplete, None
         assert message is not None
         if 100 <= message.status < 200:
             self._interim += 1
@@ -153,7 +153,9 @@
         raise self.error
 
 
-def request(method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
+def encode_request(
+    method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b""
+) -> bytes:
     """A request in one piece."""
     lines = [b"%s %s HTTP/1.1" % (method, target), *(b"%s: %s" % h for h in headers)]
     if body or method != b"GET":
@@ -161,7 +163,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-def answer(status: int, headers: Headers, body: bytes, bodiless: bool = False) -> bytes:
+def encode_response(status: int, headers: Headers, body: bytes, bodiless: bool = False) -> bytes:
     """An answer in one piece; to HEAD it goes without its body."""
     fields = "".join(f"{name}: {value}\r\n" for name, value in headers)
     head = f"HTTP/1.1 {status} {REASONS.get(status, '')}\r\n{fields}Content-Length: {len(body)}\r\n\r\n"
--- a/nickelmount/agent/lifecycle.py
+++ b/nickelmount/agent/lifecycle.py
@@ -38,14 +38,14 @@
     config: Config, clock: Clock, times: ClientTimeouts | None = None, rest_us: int = REST_US
 ) -> tuple[Agent, Listener]:
     """The parts, wired; nothing has started yet."""
-    settings, both = config.settings, max(2, config.sockets - DESCRIPTORS_APART)
+    settings, both = config.settings, max(2, config.max_sockets - DESCRIPTORS_APART)
     clients = max(1, int(CLIENT_SHARE * both))
-    pool = ConnectionPool(clock, config.connect_timeout_us, config.conn_idle_us, both - clients, rest_us)
+    pool = ConnectionPool(clock, config.connect_timeout_us, config.idle_timeout_us, both - clients, rest_us)
     backends = Upstream(clock, settings.load_report_fields, pool)
     discovery = DiscoveryClient(
         config.discovery,
-        config.parser,
-        config.known.revision,
+        config.list_parser,
+        config.known_list.revision,
         config.connect_timeout_us / 1e6,
         LOCAL_WAIT_MS if settings.discovery_is_local else WAIT_MS,
         None if settings.discovery_is_local else Random(config.seed),
@@ -63,7 +63,7 @@
         loop.add_signal_handler(number, stop.set)
     agent, server = assemble(config, clock)
     loop.add_signal_handler(signal.SIGHUP, _reload, agent, clock)
-    agent.start(config.known)
+    agent.start(config.known_list)
     try:
         port = await server.listen(config.listen)
     except OSError as e:
@@ -72,7 +72,7 @@
     log.info("%s listens on %s:%d", config.name, config.listen.host, port)
     await stop.wait()
     longest_s = min(LONGEST_S, max(c.deadline_us for c in config.settings.classes) / 1e6)
-    await server.drain(ShutdownTimes(IDLE_S, SERVE_S, longest_s + FINISH_S))
+    await server.shut_down(ShutdownTimes(IDLE_S, SERVE_S, longest_s + FINISH_S))
     log.info("%s stops", config.name)
     # The loop takes its handlers away as it closes: one that came after that would kill what has ended well.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM, signal.SIGINT))
@@ -87,7 +87,7 @@
         log.error("the old configuration stays: %s", e)
         return
     log.info("configuration read again; discovery at %s:%d", config.discovery.host, config.discovery.port)
-    agent.move(config.discovery)
+    agent.change_discovery(config.discovery)
 
 
 def _unhandled(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
--- a/nickelmount/agent/listener.py
+++ b/nickelmount/agent/listener.py
@@ -33,17 +33,17 @@
 class Listener:
     """Listens for the application."""
 
-    def __init__(self, settings: Settings, taker: RequestHandler, most: int, times: ClientTimeouts) -> None:
-        self.taker = taker
+    def __init__(self, settings: Settings, handler: RequestHandler, most: int, times: ClientTimeouts) -> None:
+        self.handler = handler
         self._most = most  # connections at once, so that descriptors are left for backends
         self._times = times
         self._loop = asyncio.get_running_loop()
         self._sweeping: asyncio.TimerHandle | None = None
-        self.checker = RequestValidator(settings.classes, settings.tenants)
+        self.validator = RequestValidator(settings.classes, settings.tenants)
         self.connections: set[ClientConnection] = set()
-        self.open_ids: set[bytes] = set()  # of the requests in hand
-        self.draining = False  # answers ask the client to close
-        self.over = False  # and what still comes is refused
+        self.open_request_ids: set[bytes] = set()  # of the requests in hand
+        self.is_draining = False  # answers ask the client to close
+        self.is_rejecting = False  # and what still comes is refused
         self._listener: asyncio.Server | None = None
         self._socket: socket.socket | None = None
 
@@ -57,7 +57,7 @@
         self._sweep()
         return int(sock.getsockname()[1])
 
-    def came(self, client: ClientConnection) -> None:
+    def connection_opened(self, client: ClientConnection) -> None:
         """One more connection. Where there is no room another makes way, or else this one."""
         if len(self.connections) >= self._most:
             other = self._longest_spare()
@@ -68,7 +68,7 @@
             self.connections.discard(other)
         self.connections.add(client)
 
-    def left(self, client: ClientConnection) -> None:
+    def connection_closed(self, client: ClientConnection) -> None:
         self.connections.discard(client)
 
     def _longest_spare(self) -> ClientConnection | None:
@@ -89,11 +89,11 @@
             if allowed_s is not None and now - client.since > allowed_s:
                 client.expire()
 
-    async def drain(self, times: ShutdownTimes) -> None:
+    async def shut_down(self, times: ShutdownTimes) -> None:
         """Take leave of the clients: nothing that was taken is lost."""
         loop = self._loop
         began = loop.time()
-        self.draining = True
+        self.is_draining = True
         await asyncio.sleep(times.idle_s)
         # A request that crosses this close is sent again on a new connection; these still come.
         self._close_idle()
@@ -101,15 +101,15 @@
         while (self.connections or self._queued()) and loop.time() < began + times.end_s:
             self._close_idle()
             await asyncio.sleep(POLL_S)
-        self.over = True
-        self.taker.give_up_all()
+        self.is_rejecting = True
+        self.handler.finish_all()
         while (self.connections or self._queued()) and loop.time() < began + times.end_s + FLUSH_S:
             self._close_idle()
             await asyncio.sleep(POLL_S / 10)
         # Open to the end: closing it resets what has come in and is not accepted yet.
-        self.stop()
+        self.close()
 
-    def stop(self) -> None:
+    def close(self) -> None:
         if self._sweeping is not None:
             self._sweeping.cancel()
         if self._listener is not None:
--- a/nickelmount/agent/request_validation.py
+++ b/nickelmount/agent/request_validation.py
@@ -46,7 +46,7 @@
     is_retry: bool
     respond: Callable[[ClientRequest, int, Headers, bytes], None]
     number: int = 0  # given by whoever takes it
-    gone: Callable[[], bool] = lambda: False  # whether its client has left, be it unread so far
+    client_has_left: Callable[[], bool] = lambda: False  # whether its client has left, be it unread so far
 
 
 class RequestValidator:
@@ -59,10 +59,10 @@
     def check(
         self, request: HttpMessage, respond: Callable[[ClientRequest, int, Headers, bytes], None]
     ) -> ClientRequest:
-        fields = request.fields
+        fields = request.headers
         if b"host" not in fields:
             raise HttpError(400, "Host is missing")
-        if not DECISIVE.isdisjoint(request.repeated):
+        if not DECISIVE.isdisjoint(request.repeated_headers):
             raise HttpError(400, "a header is there twice")
         index, effect = self._class(fields)
         if request.method != (b"GET" if effect is Idempotency.ALWAYS else b"POST"):
--- a/nickelmount/agent/upstream.py
+++ b/nickelmount/agent/upstream.py
@@ -13,7 +13,7 @@
 from .clock import Clock
 from .connection_pool import ConnectionPool, PooledConnection
 from .discovery import EndpointList, ListedEndpoint
-from .http import HttpMessage, request
+from .http import HttpMessage, encode_request
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
     headers: list[tuple[bytes, bytes]]
     body: bytes = b""
     told_timeout: bool = False  # the backend is told how long its answer is waited for
-    gone: Callable[[], bool] = lambda: False  # whether who asks has left
+    client_has_left: Callable[[], bool] = lambda: False  # whether who asks has left
 
 
 def parse_report(text: str | None, fields: tuple[str, ...]) -> tuple[float, ...]:
@@ -155,32 +155,32 @@
             return self._end(Outcome.NOT_SENT)
         # The time may be over for which it was chosen, though no timer has fired yet.
         now = self._backends.clock.now()
-        if self._ask.gone() or now >= self._write_until:
+        if self._ask.client_has_left() or now >= self._write_until:
             self._backends.pool.give_back(connection, True, connection.member)
             return self._end(Outcome.NOT_SENT)
         self._connection, connection.user = connection, self
         ask, headers = self._ask, [HOST, *self._ask.headers]
         if ask.told_timeout:
             headers.append((b"Request-Timeout-Ms", b"%d" % max(1, (self._until - now) // 1000)))
-        connection.send(request(ask.method, ask.target, headers, ask.body))
+        connection.send(encode_request(ask.method, ask.target, headers, ask.body))
 
     # What comes back
 
-    def on_answer(self, answer: HttpMessage) -> None:
+    def on_response(self, answer: HttpMessage) -> None:
         self._answer = answer
         self._end(self._answered(answer))
 
-    def on_spoilt(self) -> None:
+    def on_unusable_response(self) -> None:
         # The process answers and the connection stands, so this is no break. The request has run.
         self._end(Outcome.ERROR)
 
-    def on_end(self) -> None:
+    def on_peer_closed(self) -> None:
         self._end(self._lost())
 
     def _answered(self, answer: HttpMessage) -> Outcome:
         if answer.status == 200:
             return Outcome.OK
-        if answer.status in (503, 504) and answer.fields.get(b"not-started") == b"1":
+        if answer.status in (503, 504) and answer.headers.get(b"not-started") == b"1":
             return Outcome.REJECTED
         return Outcome.ERROR
 
@@ -189,7 +189,7 @@
         return Outcome.RESET if self._sent() else Outcome.CONNECT_FAILED
 
     def _sent(self) -> bool:
-        return self._connection is not None and self._connection.written
+        return self._connection is not None and self._connection.all_written
 
     def _timed_out(self) -> None:
         self._end(Outcome.TIMEOUT if self._sent() else Outcome.CONNECT_FAILED)
@@ -238,14 +238,14 @@
         self._members: dict[EndpointId, ListedEndpoint] = {}
         self._probe = UpstreamRequest(b"GET", LOAD if load_report_fields else b"/ping", [])
 
-    def told(self, listing: EndpointList) -> list[Endpoint]:
+    def apply(self, listing: EndpointList) -> list[Endpoint]:
         """Take in what discovery says; return what that changes, in the module's form.
 
         Of a whole list too, which so costs the module no more than what has changed in it. A backend that it
         does not name comes back as gone.
         """
         changed = []
-        for member in listing.members:
+        for member in listing.entries:
             backend = member.endpoint
             old = self._members.get(backend.id)
             if old == member:
@@ -258,7 +258,7 @@
             if old is not None and not (old.same_process(member) and backend.status is EndpointStatus.READY):
                 self.pool.forget(backend.id)
         if listing.complete:
-            named = {m.endpoint.id for m in listing.members}
+            named = {m.endpoint.id for m in listing.entries}
             for gone in [i for i in self._members if i not in named]:
                 changed.append(replace(self._members.pop(gone).endpoint, status=EndpointStatus.REMOVED))
                 self.pool.forget(gone)
--- a/nickelmount/fleet/emulated_discovery.py
+++ b/nickelmount/fleet/emulated_discovery.py
@@ -18,7 +18,7 @@
 
 from nickelmount.agent.connection import Connection
 from nickelmount.agent.discovery import PATH
-from nickelmount.agent.http import HttpMessage, HttpReader, answer
+from nickelmount.agent.http import HttpMessage, HttpReader, encode_response
 from nickelmount.errors import HttpError
 
 from .catalog import Catalog, Phase, Where, generate, pick
@@ -87,22 +87,22 @@
         self._host.counts.bytes_in += len(data)
         requests = self._reader.feed(data)
         if self.held or len(requests) > 1:  # an answer to one would be taken for the other's
-            self.drop()
+            self.abort()
         elif self._reader.error is not None:
             self._host.take(self, self._reader.error)
         elif requests:
             self._host.take(self, requests[0])
 
-    def on_fault(self) -> None:
-        self.drop()
+    def on_handler_error(self) -> None:
+        self.abort()
 
-    def on_end(self) -> None:
+    def on_peer_closed(self) -> None:
         self._host.left(self)
 
     def reset(self) -> None:
         if self.transport is None:
             return
-        self.deaf = True
+        self.discards_input = True
         with suppress(OSError):  # the peer may have reset it already
             self.transport.get_extra_info("socket").setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
@@ -355,10 +355,10 @@
 
     def _refuse(self, watcher: Watcher, status: int) -> None:
         self.counts.failed += 1
-        message = answer(status, [("Connection", "close")], b"")
+        message = encode_response(status, [("Connection", "close")], b"")
         self.counts.bytes_out += len(message)
         watcher.send(message)
-        watcher.end()
+        watcher.finish_sending()
         watcher.close()
 
     def _arrived(self) -> None:
@@ -412,7 +412,7 @@
         self.counts.bytes_out += len(message)
         watcher.held = False
         watcher.send(message)
-        if not watcher.written and len(message) > LARGE:
+        if not watcher.all_written and len(message) > LARGE:
             self._writing.add(watcher)
         if not watcher.keep_alive:
             watcher.close()
@@ -421,7 +421,9 @@
         message = self._messages.get(base)
         if message is None:
             body = self._catalog.answer(base)
-            message = self._messages[base] = answer(200, [("Content-Type", "application/json")], body)
+            message = self._messages[base] = encode_response(
+                200, [("Content-Type", "application/json")], body
+            )
         return message
 
     def drained(self, watcher: Watcher) -> None:
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -94,16 +94,16 @@
         self.discovery = RecordingDiscoveryClient(
             self.taken,
             config.discovery,
-            config.parser,
-            config.known.revision,
+            config.list_parser,
+            config.known_list.revision,
             config.connect_timeout_us / 1e6,
             LOCAL_WAIT_MS if hand else WAIT_MS,
             None if hand else Random(seed),
         )
-        pool = ConnectionPool(self._clock, config.connect_timeout_us, config.conn_idle_us, CONNECTIONS)
+        pool = ConnectionPool(self._clock, config.connect_timeout_us, config.idle_timeout_us, CONNECTIONS)
         backends = Upstream(self._clock, settings.load_report_fields, pool)
         self.agent = Agent(Balancer(settings, seed), self._clock, backends, self.discovery)
-        self.agent.start(config.known)
+        self.agent.start(config.known_list)
 
     def end(self) -> None:
         if self.discovery is not None:
@@ -127,11 +127,11 @@
         clock = Clock()
         made = config_from(config, {}, clock)
         if shared:
-            made = replace(made, parser=SharedParser(made.parser))
+            made = replace(made, list_parser=SharedParser(made.list_parser))
         for i, number in enumerate(numbers):
             # Its own entries of the list it has, unless they are to be shared.
-            known = made.known if shared else made.parser.parse(config["known"])
-            self._agents.append(Hollow(replace(made, known=known), clock, number))
+            known = made.known_list if shared else made.list_parser.parse(config["known"])
+            self._agents.append(Hollow(replace(made, known_list=known), clock, number))
             self._agents[-1].start()
             if i % STARTS_AT_ONCE == 0:
                 await asyncio.sleep(0)
--- a/nickelmount/fleet/load_generator.py
+++ b/nickelmount/fleet/load_generator.py
@@ -24,7 +24,7 @@
 from hdrh.histogram import HdrHistogram
 from httptools import HttpParserError, HttpParserUpgrade, HttpResponseParser
 
-from nickelmount.agent.http import request
+from nickelmount.agent.http import encode_request
 
 from . import role
 
@@ -255,7 +255,7 @@
     def __init__(self, request_class: str, method: str, timeout_ms: int, body_bytes: int, seed: int) -> None:
         if timeout_ms < 1 or body_bytes < 0 or (method == "GET" and body_bytes):
             raise ValueError("timeout_ms from 1 and body_bytes from 0 are wanted, and none with GET")
-        template = request(
+        template = encode_request(
             method.encode(),
             b"/api",
             [
--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -63,20 +63,20 @@
         clock = Clock()
         self._config = config_from(config(self._e, 0, 9, empty), {}, clock)
         settings = replace(self._config.settings, instance_count=max(1, servers))
-        pool = ConnectionPool(clock, self._config.connect_timeout_us, self._config.conn_idle_us, 512)
+        pool = ConnectionPool(clock, self._config.connect_timeout_us, self._config.idle_timeout_us, 512)
         self._backends = Upstream(clock, settings.load_report_fields, pool)
         self._balancer = Balancer(settings, seed)
         self._now = 1_000_000
-        self._told(self._config.known, ListUpdateKind.CACHED)
+        self._told(self._config.known_list, ListUpdateKind.CACHED)
 
     def _handle(self, event: Event) -> list[Action]:
         return self._balancer.handle(self._now, event)
 
     def _told(self, listing: Any, kind: ListUpdateKind) -> None:
-        self._handle(EndpointsChanged(kind, self._backends.told(listing)))
+        self._handle(EndpointsChanged(kind, self._backends.apply(listing)))
 
     def _take(self, body: bytes) -> None:
-        self._told(self._config.parser.parse(json.loads(body)), ListUpdateKind.DELTA)
+        self._told(self._config.list_parser.parse(json.loads(body)), ListUpdateKind.DELTA)
 
     def figures(self) -> dict[str, float]:
         body = self._catalog.answer(None)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -272,9 +272,9 @@
     clock = Clock()
     config = load_config(folder, doc, clock)
     if most is not None:
-        config = replace(config, sockets=most)
+        config = replace(config, max_sockets=most)
     agent, server = assemble(config, clock, times, rest_us=0)
-    agent.start(config.known)
+    agent.start(config.known_list)
     port = await server.listen(Address("127.0.0.1", 0))
     w = World(agent, server, port, discovery, peers)
     try:
@@ -283,6 +283,6 @@
     finally:
         for client in w.clients:
             client.close()
-        server.stop()
+        server.close()
         for peer in [discovery, *peers]:
             await peer.stop()
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -32,7 +32,7 @@
     port: int, idle_us: int = 60_000_000, connect_us: int = 10_000_000, most: int = 9, rest_us: int = 0
 ) -> Upstream:
     made = Upstream(CLOCK, FIELDS, ConnectionPool(CLOCK, connect_us, idle_us, most, rest_us))
-    made.told(listing(port))
+    made.apply(listing(port))
     return made
 
 
@@ -334,7 +334,7 @@
         peer = await Peer().start()
         b = backends(peer.port)
         message = await served(b, peer)
-        b.told(listing(peer.port, phase, up))
+        b.apply(listing(peer.port, phase, up))
         await message.peer.ended()
         await peer.stop()
 
@@ -346,7 +346,7 @@
         peer = await Peer().start()
         b = backends(peer.port)
         end = begin(b)
-        b.told(listing(peer.port, "DRAINING"))
+        b.apply(listing(peer.port, "DRAINING"))
         assert (await end).outcome is Outcome.NOT_SENT
         assert peer.requests.empty()
         await peer.stop()
@@ -359,7 +359,7 @@
         peer, other = await Peer().start(), await Peer().start()
         b = backends(peer.port, most=1)
         message = await served(b, peer)
-        b.told(
+        b.apply(
             EndpointListParser(CLOCK, (), ()).parse(
                 {"revision": 2, "complete": False, "members": [member("t", other.port)]}
             )
@@ -459,7 +459,7 @@
         peer = await Peer().start()
         pool = ConnectionPool(clock, 10_000_000, 60_000_000, 9)
         b = Upstream(clock, FIELDS, pool)
-        b.told(listing(peer.port))
+        b.apply(listing(peer.port))
         first = await served(b, peer)
         clock.us += 6_000  # so late is the copy, and the next request comes ahead of it
         end = begin(b)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -51,7 +51,7 @@
             assert f"index={revision - 1}&wait=" in call.first
             await call.answer(200, body(revision, members))
         listing = await told.get()
-        assert listing is not None and listing.revision == 43 and listing.members[0].endpoint.id == "s"
+        assert listing is not None and listing.revision == 43 and listing.entries[0].endpoint.id == "s"
         call = await peer.requests.get()
         assert "index=43&" in call.first and peer.connections == 1 and told.empty()
         discovery.watch(told.put_nowait)  # asked again while it goes on: no second call
@@ -194,7 +194,7 @@
             clock = Clock()
             config = load_config(tmp_path, doc, clock)
             agent, _ = assemble(config, clock)
-            agent.start(config.known)
+            agent.start(config.known_list)
             first = (await peer.requests.get()).first
             found.append(int(first.partition("&wait=")[2].split()[0]))
             await peer.stop()
@@ -254,7 +254,7 @@
         await (await peer.requests.get()).answer(200, body(42, [*bad[:3], GOOD, *bad[3:], drains]))
         listing = await told.get()
         assert listing is not None and listing.revision == 42
-        states = {str(m.endpoint.id): m.endpoint.status for m in listing.members}
+        states = {str(m.endpoint.id): m.endpoint.status for m in listing.entries}
         assert states.pop("s") is EndpointStatus.READY and states.pop("d") is EndpointStatus.DRAINING
         # What is said of them is not known: they are sent nothing new.
         assert set(states) == set("bcef") and set(states.values()) == {EndpointStatus.REMOVED}
@@ -268,7 +268,7 @@
     members = [member(f"s-{i:08x}", 1 + i % 60000) for i in range(5000)]
     text = body(42, members, complete=True)
     assert len(text) < ANSWER_BYTES
-    assert len({m.endpoint.id for m in parser.parse(json.loads(text)).members}) == 5000
+    assert len({m.endpoint.id for m in parser.parse(json.loads(text)).entries}) == 5000
 
 
 def test_an_older_answer_does_not_undo_what_is_known(tmp_path: Path) -> None:
--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -59,7 +59,7 @@
         if listing is not None:
             if listing.complete:
                 self.known.clear()
-            self.known.update((m.endpoint.id, m) for m in listing.members)
+            self.known.update((m.endpoint.id, m) for m in listing.entries)
             self.known = {
                 i: m for i, m in self.known.items() if m.endpoint.status is not EndpointStatus.REMOVED
             }
@@ -263,7 +263,7 @@
                 await until(standin, calls=n + 3)  # in this order
             await until(standin, queued=3)
             await standin.change("DRAINING", count=1)
-            assert len((await agent.knows(2)).members) == 1  # what is small goes past them
+            assert len((await agent.knows(2)).entries) == 1  # what is small goes past them
             stalled.pop()[1].close()  # the last leaves
             await until(standin, queued=2)
             revisions = []
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -71,7 +71,7 @@
 async def kept_open(w: World) -> None:
     """To each backend an idle connection: what is sent is then written in the very turn."""
     pool = w.agent._backends.pool
-    for there in listing(*w.backends).members:
+    for there in listing(*w.backends).entries:
         pool.give_back(await pool.open(there), True, there)
 
 
@@ -82,7 +82,7 @@
 
 async def nothing_goes_on(w: World) -> None:
     """Wait for the turns in which all of it is seen; nothing more is sent or held."""
-    while w.server.connections or w.server.open_ids:
+    while w.server.connections or w.server.open_request_ids:
         await asyncio.sleep(0)
     await asyncio.sleep(0.3)  # what were sent on nevertheless would have come by now
     balancer = w.agent._balancer
@@ -101,7 +101,7 @@
 async def waiting(folder: Path, draining: bool = False) -> AsyncIterator[tuple[World, Peer]]:
     """An agent without backends, and one that it does not know yet."""
     async with world(folder, backends=0) as w:
-        w.server.draining = draining
+        w.server.is_draining = draining
         peer = await Peer().start()
         w.backends.append(peer)
         yield w, peer
@@ -161,13 +161,13 @@
     async def run() -> None:
         async with world(tmp_path) as w:
             await kept_open(w)
-            came, accepted = w.server.came, list[ClientConnection]()
+            came, accepted = w.server.connection_opened, list[ClientConnection]()
 
             def counted(client: ClientConnection) -> None:
                 accepted.append(client)
                 came(client)
 
-            monkeypatch.setattr(w.server, "came", counted)
+            monkeypatch.setattr(w.server, "connection_opened", counted)
             for i in range(many):
                 s = socket.create_connection(("127.0.0.1", w.port))
                 s.send(post(Request_Id=f"9b{i}"))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -137,10 +137,10 @@
 
 def test_of_a_whole_list_the_module_is_told_what_has_changed() -> None:
     there, read = backends(), parser()
-    assert len(there.told(read.parse(whole(1, entries())))) == 200
-    assert there.told(read.parse(whole(2, entries()))) == []
+    assert len(there.apply(read.parse(whole(1, entries())))) == 200
+    assert there.apply(read.parse(whole(2, entries()))) == []
     changed = entries(member("s3", 9003, "DRAINING"), member("s4", 9004, up=77_000), member("s5", 9999))
-    told = there.told(read.parse(whole(3, [m for m in changed if m["id"] != "s9"])))
+    told = there.apply(read.parse(whole(3, [m for m in changed if m["id"] != "s9"])))
     assert [(b.id, b.status) for b in told] == [
         ("s3", EndpointStatus.DRAINING),
         ("s4", EndpointStatus.READY),
@@ -148,14 +148,14 @@
         ("s9", EndpointStatus.REMOVED),
     ]
     assert there.ready("s9") is None and there.ready("s3") is None
-    (back,) = there.told(read.parse(whole(4, changed)))
+    (back,) = there.apply(read.parse(whole(4, changed)))
     assert back.id == "s9" and there.ready("s9") is not None
 
 
 def test_an_entry_that_reads_as_before_is_the_same_and_what_is_not_listed_is_not_kept() -> None:
     read = parser()
-    before = read.parse(whole(1, entries())).members
-    after = read.parse(whole(2, entries(member("s3", 9003, "DRAINING"), count=150))).members
+    before = read.parse(whole(1, entries())).entries
+    after = read.parse(whole(2, entries(member("s3", 9003, "DRAINING"), count=150))).entries
     assert [m for m in after if m not in before] == [after[3]]
     assert all(new is old for new, old in zip(after, before, strict=False) if new is not after[3])
     assert len(read._read) == 150
@@ -163,7 +163,7 @@
     assert len(read._read) == 149
     broken = {**member("s8", 9000), "size": float("nan")}
     told = read.parse(whole(4, entries(broken)))  # was well before: what is wrong with it now counts
-    assert [m.endpoint.status for m in told.members if m.endpoint.id == "s8"] == [EndpointStatus.REMOVED]
+    assert [m.endpoint.status for m in told.entries if m.endpoint.id == "s8"] == [EndpointStatus.REMOVED]
 
 
 def test_a_list_of_thousands_is_read_in_many_turns_of_the_loop() -> None:
@@ -212,13 +212,13 @@
         reading = there.discovery._parser._read
         await turns(lambda: len(reading) > 100)
         assert not there.told and len(reading) < LARGE
-        there.discovery.move(Address("127.0.0.1", new.port), there.told.append)
+        there.discovery.change_address(Address("127.0.0.1", new.port), there.told.append)
         request = await new.requests.get()
         assert request.first.startswith("GET /catalog/members HTTP")
         await request.answer(200, json.dumps(whole(3, entries(count=5))).encode())
         await turns(lambda: bool(there.told))
-        assert [(t.revision, len(t.members)) for t in there.told if t is not None] == [(3, 5)]
-        there.discovery.move(Address("127.0.0.1", old.port), there.told.append)  # ends the watch
+        assert [(t.revision, len(t.entries)) for t in there.told if t is not None] == [(3, 5)]
+        there.discovery.change_address(Address("127.0.0.1", old.port), there.told.append)  # ends the watch
         await old.stop()
         await new.stop()
 
@@ -237,13 +237,13 @@
         await turns(lambda: len(there.discovery._parser._read) > 100)  # it is being read
         await fetch.answer(200, json.dumps(whole(51, entries(count=5))).encode())
         await turns(lambda: None in there.told)
-        assert [t and (t.revision, len(t.members)) for t in there.told] == [(51, 5), None]
+        assert [t and (t.revision, len(t.entries)) for t in there.told] == [(51, 5), None]
         there.watch()  # begun ahead of what is known: the whole list tells
         again = await peer.requests.get()
         assert again.first.startswith("GET /catalog/members HTTP")
         await again.answer(200, json.dumps(whole(51, entries(count=5))).encode())
         await turns(lambda: len(there.told) == 3)
-        there.discovery.move(Address("127.0.0.1", 9), there.told.append)
+        there.discovery.change_address(Address("127.0.0.1", 9), there.told.append)
         await peer.stop()
 
     asyncio.run(asyncio.wait_for(run(), 60))
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -135,7 +135,7 @@
             got = await w.request()
             client.writer.write(post(Request_Id="9b20") + b"x" * 8_000_000)
             (connection,) = w.server.connections
-            while not connection.deaf:
+            while not connection.discards_input:
                 await asyncio.sleep(0)
             await got.answer()
             assert (await client.read()).status == 200
@@ -393,7 +393,7 @@
     await got.answer(200, b"x" * 500_000)
     while not connection.asked:
         await asyncio.sleep(0)
-    assert not connection.written
+    assert not connection.all_written
     return client, connection
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -137,7 +137,7 @@
     doc = config_doc(9, [])
     del doc["known"]
     config = load_config(tmp_path, doc, Clock())
-    assert config.known.revision == 0 and config.known.complete and not config.known.members
+    assert config.known_list.revision == 0 and config.known_list.complete and not config.known_list.entries
 
 
 @pytest.mark.parametrize("within_us, told_us", [(0, 6 * SECOND), (9 * SECOND, 6 * SECOND), (SECOND, SECOND)])
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -41,7 +41,7 @@
             fresh = await Caller(w).accepted()
             kept = await w.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
             assert (await kept.read()).status == 200
-            stop = asyncio.create_task(w.server.drain(NOW))
+            stop = asyncio.create_task(w.server.shut_down(NOW))
             await kept.ended()  # idle ones have been closed
             fresh.socket.send(post())
             await (await w.request()).answer()
@@ -61,7 +61,7 @@
         async with world(tmp_path) as w:
             silent = await Caller(w).accepted()
             async with asyncio.timeout(10):
-                await w.server.drain(NOW)
+                await w.server.shut_down(NOW)
             assert await read_all(silent.socket) == b""
 
     asyncio.run(run())
@@ -71,15 +71,15 @@
 def test_a_connection_in_the_accept_queue_at_the_end_gets_an_answer(tmp_path: Path, cls: str | None) -> None:
     async def run() -> None:
         async with world(tmp_path) as w:
-            give_up, came = w.agent.give_up_all, list[socket.socket]()
+            give_up, came = w.agent.finish_all, list[socket.socket]()
 
             def crossed() -> None:
                 give_up()
                 came.append(s := socket.create_connection(("127.0.0.1", w.port)))
                 s.send(post(cls) if cls else b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
 
-            w.agent.give_up_all = crossed  # type: ignore[method-assign]
-            await w.server.drain(NOW)
+            w.agent.finish_all = crossed  # type: ignore[method-assign]
+            await w.server.shut_down(NOW)
             assert (await read_all(came[0])).startswith(b"HTTP/1.1 503 ")
             assert w.nothing_sent()
             came[0].close()
@@ -93,7 +93,7 @@
             caller = await Caller(w).accepted()
             caller.socket.send(post())
             got = await w.request()
-            w.server.draining = True
+            w.server.is_draining = True
             body = b"x" * 3_000  # one piece: it is read ahead of what the client sends
             got.peer.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
             got.peer.writer.write(body)
@@ -119,10 +119,10 @@
             caller = await Caller(w).accepted()
             caller.socket.send(post())
             got = await w.request()
-            w.server.draining = True
+            w.server.is_draining = True
             caller.socket.send(post(Request_Id="9b99"))
             (connection,) = w.server.connections
-            while not connection.deaf:
+            while not connection.discards_input:
                 await asyncio.sleep(0)
             await got.answer()
             answer = await read_all(caller.socket)
@@ -140,7 +140,7 @@
             w.agent._listed(listing())
             held = await w.ask(post(UNSAFE, Request_Id="9b20"))
             await taken(w, 2)
-            stop = asyncio.create_task(w.server.drain(ShutdownTimes(0.0, 0.0, 0.05)))
+            stop = asyncio.create_task(w.server.shut_down(ShutdownTimes(0.0, 0.0, 0.05)))
             assert (await sent.read()).status == 500
             assert (await held.read()).status == 503
             sent.close()
