--- a/tests/test_failures.py
+++ b/tests/test_balancer_faults.py
@@ -16,7 +16,7 @@
     RequestArrived,
 )
 from nickelmount.balancer.settings import Prices, RequestClass
-from tests.helpers import MS, SECOND, Drive, only
+from tests.balancer_driver import MS, SECOND, Drive, only
 
 
 def test_full_servers_meet_no_storm_of_repeats() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_balancer_rules.py
@@ -7,7 +7,7 @@
 from nickelmount.balancer.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt
 from nickelmount.balancer.events import ClientDisconnected, Endpoint, EndpointStatus, ListUpdateKind, Outcome
 from nickelmount.balancer.settings import DedupScope, RequestClass
-from tests.helpers import MS, SAFE, SECOND, UNSAFE, Drive, keyed, only
+from tests.balancer_driver import MS, SAFE, SECOND, UNSAFE, Drive, keyed, only
 
 RAN = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET]
 UNSEEN = [Outcome.REJECTED, Outcome.CONNECT_FAILED]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -28,7 +28,7 @@
 from nickelmount.fleet.emulated_discovery import Standin
 from nickelmount.fleet.experiment import Agents, Experiment
 from nickelmount.fleet.hollow_agents import Hollow
-from tests.helpers import SAFE, SECOND, Drive
+from tests.balancer_driver import SAFE, SECOND, Drive
 from tests.loopback import Peer, member
 
 LARGE = 6300
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -21,7 +21,7 @@
 )
 from nickelmount.balancer.settings import DedupScope, DiscoveryMode, Prices, Settings
 from nickelmount.protocol.settings import settings_from
-from tests.helpers import MS, SAFE, SECOND, UNSAFE, Drive, only
+from tests.balancer_driver import MS, SAFE, SECOND, UNSAFE, Drive, only
 from tests.loopback import config_doc, load_config
 from tests.loopback import settings as wire_settings
 
