--- a/tests/test_balancer_fleet.py
+++ b/tests/test_balancer_fleet.py
@@ -17,7 +17,7 @@
 from nickelmount.balancer.events import Endpoint, ListUpdateKind, Outcome, RequestArrived, TimerFired
 from nickelmount.balancer.settings import DiscoveryMode, Idempotency, RequestClass
 
-from .helpers import MS, SECOND, UNSAFE, Drive, only
+from .balancer_driver import MS, SECOND, UNSAFE, Drive, only
 from .loopback import Peer, config_doc, load_config, member
 
 INFLIGHT = ("inflight",)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -23,7 +23,7 @@
 )
 from nickelmount.balancer.settings import Idempotency, RequestClass, Settings
 
-from .helpers import MS, SECOND
+from .balancer_driver import MS, SECOND
 
 SERVERS, COLD = 40, 6
 RATE, BURST = 20.0, 1.6  # of a server with speed 1, in requests a second; of all requests, in what all can do
