--- a/nickelmount/protocol/http_names.py
+++ b/nickelmount/protocol/http_names.py
@@ -1,6 +1,6 @@
 """The paths, header fields and fixed values of the HTTP that clients, agents, endpoints and discovery speak.
 
-Header fields are in lower case, as they are looked up in a message that was read; HTTP takes them in any case.
+Header fields are in lower case, as they are looked up in a message that was read.
 """
 
 from __future__ import annotations
