--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -54,10 +54,10 @@
 from .outlier_detection import OutlierDetector
 from .probing import MAX_PROBED_PAIRS, Probing
 from .quota import TenantQuotas
-from .request import Attempt, RandomDraws, Request
+from .request import Attempt, RandomDraws, Request, check_arrival
 from .retry import RetryBudget, RetryRules
 from .sampling import MAX_DRAWS, EligibilityRules, Sampler
-from .settings import DiscoveryMode, Settings, require
+from .settings import DiscoveryMode, Settings
 from .slow_start import SlowStart, WarmUpRamp
 from .subset import Subset
 from .timers import TimerQueue
@@ -197,7 +197,7 @@
 
     def _on_request_arrived(self, event: RequestArrived) -> None:
         now_us = self.now_us
-        self._check(event)
+        check_arrival(event, self.settings, self.requests)
         relative_cost = self.table.relative_cost(event.cost_us)
         draws = RandomDraws(slow_start=self._rng.random(), exploration=self._rng.random())
         request_class = self.settings.classes[event.request_class]
@@ -211,16 +211,6 @@
         request.is_low_priority = self.quotas.is_exceeded(event.tenant, now_us) or event.is_retry
         self._advance(request)
 
-    def _check(self, event: RequestArrived) -> None:
-        """Name what makes no sense in a request, before anything is done for it."""
-        settings = self.settings
-        is_class = 0 <= event.request_class < len(settings.classes)
-        require(is_class, "request_class", f"no class {event.request_class}")
-        is_tenant = 0 <= event.tenant < max(1, len(settings.tenants))
-        require(is_tenant, "tenant", f"no tenant {event.tenant}")
-        is_new = event.request_id not in self.requests
-        require(is_new, "request_id", f"{event.request_id} has no final answer yet")
-
     def _advance(self, request: Request) -> None:
         """Send a request on, let it wait, or give its final answer.
 
@@ -411,7 +401,7 @@
         request = self.requests.get(event.request_id)
         if request is not None and event.attempt in request.in_flight:
             request.is_done = True
-            self._cancel_attempts(request, but=event.attempt)
+            self._cancel_attempts(request, except_for=event.attempt)
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         request = self.requests.get(event.request_id)
@@ -442,9 +432,9 @@
         if not request.in_flight:
             self.requests.pop(request.id, None)
 
-    def _cancel_attempts(self, request: Request, but: int | None = None) -> None:
+    def _cancel_attempts(self, request: Request, except_for: int | None = None) -> None:
         if self.settings.can_cancel:
-            numbers = [number for number in request.in_flight if number != but]
+            numbers = [number for number in request.in_flight if number != except_for]
             self._actions.extend(CancelAttempt(request.id, number) for number in numbers)
 
     # Timers and gossip
--- a/nickelmount/balancer/request.py
+++ b/nickelmount/balancer/request.py
@@ -2,11 +2,22 @@
 
 from __future__ import annotations
 
+from collections.abc import Container
 from dataclasses import dataclass
 
 from .endpoint import TrackedEndpoint
 from .events import RequestArrived
-from .settings import RequestClass
+from .settings import RequestClass, Settings, require
+
+
+def check_arrival(event: RequestArrived, settings: Settings, open_requests: Container[int]) -> None:
+    """Raise ValueError, naming the field, where a request that arrives makes no sense."""
+    is_class = 0 <= event.request_class < len(settings.classes)
+    require(is_class, "request_class", f"no class {event.request_class}")
+    is_tenant = 0 <= event.tenant < max(1, len(settings.tenants))
+    require(is_tenant, "tenant", f"no tenant {event.tenant}")
+    is_new = event.request_id not in open_requests
+    require(is_new, "request_id", f"{event.request_id} has no final answer yet")
 
 
 @dataclass(slots=True, eq=False)
