--- a/nickelmount/balancer/admission.py
+++ b/nickelmount/balancer/admission.py
@@ -87,11 +87,11 @@
         return in_flight_count + (request.draws.concurrency if is_small else 0.0) >= limit
 
     def concurrency_limit(self, request: Request, now_us: int) -> float:
-        """This balancer's part of what all endpoints may hold.
+        """This balancer's share of what all endpoints may hold.
 
         It is the largest of
 
-        - an even part of the capacity of all endpoints;
+        - an even share of the capacity of all endpoints;
         - by traffic: as many requests as arrive while an answer may take its time, less by what has gone of
           the capacity, since the traffic stays, and less as endpoints hold more than they bear in the mean,
           since in a burst all balancers send more at once;
@@ -103,7 +103,7 @@
         if not self._has_limit:
             return float("inf")
         table, subset = self._table, self._subset
-        even_part = MAX_IN_FLIGHT_PER_ENDPOINT * subset.capacity / self._instance_count
+        even_share = MAX_IN_FLIGHT_PER_ENDPOINT * subset.capacity / self._instance_count
         by_traffic = (
             self._arrivals.count
             / TRAFFIC_WINDOW_US
@@ -112,7 +112,7 @@
             * subset.capacity_left
             * min(1.0, MAX_IN_FLIGHT_PER_ENDPOINT / (table.mean_load + 1.0))
         )
-        limit = max(even_part, by_traffic)
+        limit = max(even_share, by_traffic)
         factor = PREFERRED_CLASS_FACTOR if self._goes_first(request, now_us) else 1.0
         return max(MAX_IN_FLIGHT_PER_ENDPOINT - table.mean_load, limit * factor)
 
@@ -162,13 +162,16 @@
             if load < 1.0:
                 return is_feasible
             return (load + cost) * time_per_load_us <= limit_us + self._late_allowance_us(request)
-        own, other = endpoint.own_in_flight(now_us), table.other_in_flight(endpoint, now_us)
-        if self._may_explore(request, endpoint, own):
+        own_in_flight = endpoint.own_in_flight(now_us)
+        other_in_flight = table.other_in_flight(endpoint, now_us)
+        if self._can_explore(request, endpoint, own_in_flight):
             return is_feasible
-        if own + other >= MAX_IN_FLIGHT_PER_ENDPOINT:
+        if own_in_flight + other_in_flight >= MAX_IN_FLIGHT_PER_ENDPOINT:
             return False
-        predicted_us = (own + other + cost) * time_per_load_us
-        return predicted_us <= limit_us or (own < self._exploration_limit and predicted_us <= left_us)
+        predicted_us = (own_in_flight + other_in_flight + cost) * time_per_load_us
+        if predicted_us <= limit_us:
+            return True
+        return own_in_flight < self._exploration_limit and predicted_us <= left_us
 
     def _late_allowance_us(self, request: Request) -> float:
         """A request is not shed for what comes after the objective but keeps part of its weight."""
@@ -177,7 +180,7 @@
         late_us = request.deadline_us - request.objective_at_us
         return PREDICTED_TIME_SHARE * (request.request_class.late_weight * late_us)
 
-    def _may_explore(self, request: Request, endpoint: TrackedEndpoint, own_in_flight: float) -> bool:
+    def _can_explore(self, request: Request, endpoint: TrackedEndpoint, own_in_flight: float) -> bool:
         """Whether an endpoint that holds next to nothing of ours may be tried whatever is predicted.
 
         A balancer with little traffic knows too little to shed by a guess. The pass is shared over the
--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -266,9 +266,9 @@
             return self._compare(request)
         time_left_us = self.admission.time_left_us(request, now_us)
         until_us = now_us + min(self.probing.max_age_us, time_left_us)
-        return self._schedule(until_us, self._probes_timed_out, (request, request.probed_pairs))
+        return self._schedule(until_us, self._on_probe_timeout, (request, request.probed_pairs))
 
-    def _probes_timed_out(self, argument: tuple[Request, int]) -> None:
+    def _on_probe_timeout(self, argument: tuple[Request, int]) -> None:
         request, probed_pairs = argument
         is_same_pair = request.candidates is not None and request.probed_pairs == probed_pairs
         if is_same_pair and not request.is_done:
--- a/nickelmount/balancer/endpoint_set.py
+++ b/nickelmount/balancer/endpoint_set.py
@@ -86,8 +86,8 @@
     def _forget_removed(self) -> None:
         """Drop removed endpoints, since ids are ever new. One with attempts or probes in flight goes
         later."""
-        idle = [e for e in self.removed.values() if not e.in_flight and not e.probe_waiters]
-        for endpoint in idle:
+        finished = [e for e in self.removed.values() if not e.in_flight and not e.probe_waiters]
+        for endpoint in finished:
             del self.by_id[endpoint.id], self.removed[endpoint.id]
             tag = gossip_tag(endpoint.id)
             if self.by_gossip_tag.get(tag) is endpoint:
--- a/nickelmount/balancer/slow_start.py
+++ b/nickelmount/balancer/slow_start.py
@@ -2,7 +2,7 @@
 
 An endpoint that has just started bears only a part of its capacity, and fails when it gets more. Of each
 balancer's requests only a share may see it at all, drawn for each request and endpoint: in the sum over all
-balancers it gets its part, however the traffic is split between them.
+balancers it gets its share, however the traffic is split between them.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 SMOOTHING = 0.1
 DRAW_RATE_WINDOW_US = SECOND_US  # draws are counted over so long, the latest ones the most
-FULL_PART_OVERLOAD_MULTIPLE = 4.0  # from this multiple on an endpoint gets its full part
+FULL_SHARE_OVERLOAD_MULTIPLE = 4.0  # from this multiple on an endpoint gets its full share
 UNREPORTED_LOAD_SHARE = 0.5  # share of its capacity that an endpoint which reports no load may be offered
 GUARANTEE_DEVIATIONS = 3  # standard deviations of chance that are left below the overload rule
 
@@ -44,7 +44,7 @@
         self.ramp, self._rng = ramp, rng
         self._overload_multiple = settings.overload_multiple
         self._overload_window_us = settings.overload_window_us
-        self._part_scale = min(1.0, settings.overload_multiple / FULL_PART_OVERLOAD_MULTIPLE)
+        self._share_scale = min(1.0, settings.overload_multiple / FULL_SHARE_OVERLOAD_MULTIPLE)
         self._reports_load = any(name in settings.load_report_fields for name in LOAD_FIELDS)
         self.instances_per_endpoint = float(settings.instance_count)  # balancers that draw the same endpoint
         self._served_share = 1.0  # of the latest requests
@@ -52,55 +52,59 @@
         self._draws_per_endpoint = 0.0  # within DRAW_RATE_WINDOW_US, decaying
         self._drawn_at_us = 0
         self._draw_rate = 0.0  # draws of any one endpoint in a microsecond, draws in a row included
-        self._even_part = 1.0  # an endpoint's part of the traffic, were all equally warm
+        self._even_share = 1.0  # an endpoint's share of the traffic, were all equally warm
 
     def refresh(self, endpoints: list[TrackedEndpoint], now_us: int) -> None:
-        """Lay the parts of the endpoints side by side.
+        """Lay the shares of the endpoints side by side.
 
         Were each drawn by itself, no endpoint of a fleet that is all warming would see a third of the
         requests.
         """
         warm_shares = [self.ramp.warm_share(e, now_us) for e in endpoints]
-        self._even_part = 1.0 / max(1.0, sum(warm_shares), len(endpoints) / 2)
+        self._even_share = 1.0 / max(1.0, sum(warm_shares), len(endpoints) / 2)
         offset = 0.0
         for endpoint, warm_share in zip(endpoints, warm_shares, strict=True):
-            endpoint.draw_offset, offset = offset, offset + warm_share * self._even_part
+            endpoint.draw_offset, offset = offset, offset + warm_share * self._even_share
 
     def admits(
         self, endpoint: TrackedEndpoint, draw: float, is_probed: bool, table: LoadTable, now_us: int
     ) -> bool:
         """Whether the request with this draw may be sent to an endpoint.
 
+        1. To a warm endpoint, any request.
+        2. What an endpoint surely works off it may be offered, however often it is drawn: the share of rule 3
+           shrinks with all that is rejected, and most endpoints would stay idle while the few warm ones are
+           overloaded. Drawn anew each time.
+        3. Else the requests whose draw falls into its share, beside those of the other endpoints.
+
         `is_probed`: the endpoint is asked for its load before anything is sent.
         """
         if not endpoint.started_at_us:
             return True
         warm_share = self.ramp.warm_share(endpoint, now_us)
-        # A small machine fails the sooner, so its part is smaller.
+        if warm_share >= 1.0:
+            return True
+        # A small machine fails the sooner, so its share is smaller.
         capacity = table.relative_capacity(endpoint)
-        part = capacity * self._part(is_probed)
-        # What an endpoint surely works off it may be offered, however often it is drawn: the part shrinks
-        # with all that is rejected, and most endpoints would stay idle while the few warm ones are
-        # overloaded.
-        time_per_load_us = table.time_per_load_us
+        share = capacity * self._request_share(is_probed)
         draw_rate = warm_share * self.instances_per_endpoint * self._draw_rate
-        guaranteed = 0.0
-        if time_per_load_us and draw_rate:
-            guaranteed = self._guaranteed_rate(capacity * warm_share / time_per_load_us) / draw_rate
-        if warm_share < 1.0 and guaranteed > part:
-            return self._rng.random() < warm_share * guaranteed
-        return warm_share >= 1.0 or (draw - endpoint.draw_offset) % 1.0 < warm_share * part
-
-    def _part(self, is_probed: bool) -> float:
+        if table.time_per_load_us and draw_rate:
+            service_rate = capacity * warm_share / table.time_per_load_us
+            guaranteed = self._guaranteed_rate(service_rate) / draw_rate
+            if guaranteed > share:
+                return self._rng.random() < warm_share * guaranteed
+        return (draw - endpoint.draw_offset) % 1.0 < warm_share * share
+
+    def _request_share(self, is_probed: bool) -> float:
         """The share of requests that an endpoint of mean capacity may see, as a multiple of its warm share.
 
         By what is served, not by what is asked for, and no more because few other endpoints are eligible:
-        retries of an overloaded fleet would overload it. But no less than an even part: a fleet that rejects
+        retries of an overloaded fleet would overload it. But no less than an even share: a fleet that rejects
         would give restarted endpoints nothing, and so reject on. Not needed where it is probed.
         """
         if is_probed:
-            return self._part_scale
-        return max(self._part_scale * self._served_share * self._eligible_share, self._even_part)
+            return self._share_scale
+        return max(self._share_scale * self._served_share * self._eligible_share, self._even_share)
 
     def _guaranteed_rate(self, service_rate: float) -> float:
         """What an endpoint that works off so much at the least may be offered, both per microsecond.
