--- a/tests/balancer_driver.py
+++ b/tests/balancer_driver.py
@@ -132,5 +132,5 @@
 
 
 def serve_overloaded(driver: BalancerDriver, count: int) -> None:
-    """Answers, each of which reports a endpoint that is far too full."""
+    """Answers, each of which reports an endpoint that is far too full."""
     serve_reporting(driver, count, held=30.0)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -18,7 +18,7 @@
 
 
 def sent_without_answer(driver: BalancerDriver, request_class: int, count: int) -> int:
-    """How many of so many requests, none of which is answered, are sent to a endpoint."""
+    """How many of so many requests, none of which is answered, are sent to an endpoint."""
     sent = 0
     for _ in range(count):
         driver.requests += 1
@@ -57,7 +57,7 @@
 
 
 def sent_while_overloaded(driver: BalancerDriver, count: int) -> int:
-    """How many of so many requests are sent, each to a endpoint that then reports thirty in hand."""
+    """How many of so many requests are sent, each to an endpoint that then reports thirty in hand."""
     sent = 0
     for _ in range(count):
         for s in of_type(driver.request()[1], SendAttempt):
@@ -239,7 +239,7 @@
 
 def test_exploration_is_shared_over_the_balancers() -> None:
     # i00db6e: fourteen balancers, each free to keep two attempts at every endpoint, held up a 25 s overload.
-    # So did two with four: a endpoint is one core, and one that more than a few wait for turns slow.
+    # So did two with four: an endpoint is one core, and one that more than a few wait for turns slow.
     sent = {}
     for instance_count in (1, 14):
         driver = BalancerDriver(endpoint_count=1, instance_count=instance_count)
--- a/tests/test_load_table.py
+++ b/tests/test_load_table.py
@@ -86,7 +86,7 @@
 
 
 def test_the_penalty_of_a_failed_attempt_fades_by_itself() -> None:
-    # It once faded only when the next failure came, so a endpoint that had failed was shunned for ever.
+    # It once faded only when the next failure came, so an endpoint that had failed was shunned for ever.
     driver = BalancerDriver(endpoint_count=2)
     _, actions = driver.request()
     send = of_type(actions, SendAttempt)[0]
--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -18,7 +18,7 @@
 
 
 def test_a_balancer_with_little_traffic_probes_both_samples() -> None:
-    # ibarra big-1: 322 balancers, each hearing from a endpoint once a minute, did no better than random.
+    # ibarra big-1: 322 balancers, each hearing from an endpoint once a minute, did no better than random.
     driver = probing_drive(40)
     light = 0
     for _ in range(60):
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -306,7 +306,7 @@
 
 
 def test_warming_endpoints_are_offered_what_the_overload_rule_surely_bears() -> None:
-    # Half of what a endpoint could do at the least left seventy warming ones idle while the warm ones
+    # Half of what an endpoint could do at the least left seventy warming ones idle while the warm ones
     # overloaded.
     multiple, window_us, at = 3.0, 2 * SECOND, list[int]()
     for seed in range(4):  # all of them: the budget is kept in the sum
