--- a/nickelmount/agent/connection_pool.py
+++ b/nickelmount/agent/connection_pool.py
@@ -1,4 +1,8 @@
-"""Connections to backends: opened within a limit, kept for reuse while they can be trusted."""
+"""Connections to endpoints: opened up to a limit, and reused while they can be trusted.
+
+A connection has one owner at a time: an exchange (`PooledConnection.owner`) from `acquire` or `open` until
+`release` or `discard`, and the pool while it is idle. Every connection ends in `ConnectionPool.discard`.
+"""
 
 from __future__ import annotations
 
@@ -14,156 +18,214 @@
 from .discovery import ListedEndpoint
 from .http import HttpMessage, HttpReader
 
-IDLE_SHARE = 0.7  # of the time after which a backend closes an idle connection; then it is retired here
-# Bytes that belong to no answer come right behind it, a second answer some milliseconds late. Till then a
-# connection is not used again: the next request would be served with what was not made for it.
-REST_US = 10_000
-ANSWER_BYTES = 1024 * 1024  # they come with 400 KB on busy days; the body is held whole
+# An idle connection is closed here after this share of the endpoints' idle timeout. If the endpoint closed it
+# first, a request could cross that close, and it would not be known whether the request has run.
+IDLE_TIMEOUT_SHARE = 0.7
+# An endpoint may send bytes that belong to no response: directly behind one, or as a duplicate of it some
+# milliseconds later. The next request on that connection would be answered with them. A connection is not
+# reused before this time is over; bytes that arrive until then find it idle, and it is closed.
+SETTLE_TIME_US = 10_000
+MAX_RESPONSE_BYTES = 1024 * 1024  # of one body, which is held in memory as a whole
 
 
 class ConnectionOwner(Protocol):
-    """Who has the connection in hand."""
+    """The exchange that a connection belongs to."""
 
-    def on_response(self, answer: HttpMessage) -> None: ...
+    def on_response(self, response: HttpMessage) -> None:
+        """A complete response has arrived."""
 
     def on_unusable_response(self) -> None:
-        """What comes is no answer that can be used; the connection is still open."""
+        """What arrives is no response that can be used; the connection is still open."""
 
     def on_peer_closed(self) -> None:
-        """The backend has closed it."""
+        """The endpoint has closed or reset the connection. May be called twice."""
 
 
 class PooledConnection(Connection):
-    """A connection to a backend; idle, or in the hands of one exchange."""
+    """A connection to one endpoint; idle, or owned by one exchange."""
 
-    def __init__(self, pool: ConnectionPool, member: ListedEndpoint) -> None:
+    def __init__(self, pool: ConnectionPool, listed: ListedEndpoint) -> None:
         super().__init__()
-        self.member, self._pool = member, pool
-        self._reader = HttpReader(HttpResponseParser, ANSWER_BYTES)
-        self.user: ConnectionOwner | None = None
-        self.clean = True  # nothing has come but the answers that were asked for, and it may be used again
-        self.idle_since = 0
-        self.retire: asyncio.TimerHandle | None = None
+        self.listed = listed  # the endpoint as the list had it when the connection was opened
+        self.owner: ConnectionOwner | None = None  # None: idle
+        self.in_sync = True  # nothing but the awaited response has arrived, and the endpoint keeps it open
+        self.idle_since_us = 0
+        self.idle_timer: asyncio.TimerHandle | None = None
+        self._pool = pool
+        self._reader = HttpReader(HttpResponseParser, MAX_RESPONSE_BYTES)
 
     def on_data(self, data: bytes) -> None:
-        if self.user is None:
-            # No one asked: whatever it is, it must not become the answer to the next request.
+        """Hand the response to the owner; close the connection if there is none."""
+        if self.owner is None:
+            # Nothing was asked for, so these bytes must not become the answer to the next request.
             return self._pool.discard(self)
-        whole = self._reader.feed(data)
-        if whole:
-            more = len(whole) > 1 or self._reader.incomplete is not None or self._reader.error is not None
-            self.clean = whole[0].keep_alive and not more
-            self.user.on_response(whole[0])
+        responses = self._reader.feed(data)
+        if responses:
+            has_excess_bytes = (
+                len(responses) > 1 or self._reader.incomplete is not None or self._reader.error is not None
+            )
+            self.in_sync = responses[0].keep_alive and not has_excess_bytes
+            self.owner.on_response(responses[0])
         elif self._reader.error is not None:
-            self.clean = False
-            self.user.on_unusable_response()
+            self.in_sync = False
+            self.owner.on_unusable_response()
 
     def on_handler_error(self) -> None:
-        self.clean = False
-        if self.user is not None:
-            self.user.on_unusable_response()
+        """End the exchange, and never reuse the connection."""
+        self.in_sync = False
+        if self.owner is not None:
+            self.owner.on_unusable_response()
         self._pool.discard(self)
 
     def on_peer_closed(self) -> None:
+        """Tell the owner; an idle connection is discarded."""
         self.closed = True
-        if self.user is not None:
-            self.user.on_peer_closed()
+        if self.owner is not None:
+            self.owner.on_peer_closed()
         else:
             self._pool.discard(self)
 
-    def usable(self) -> bool:
-        """Idle and, as far as the kernel knows, open: one with anything to read was closed by the peer, or
-        holds what no one asked for.
+    def is_quiet(self) -> bool:
+        """Whether an idle connection is open and has nothing to read, as far as the kernel knows.
+
+        One with something to read was closed by the endpoint, or has bytes that nobody asked for.
         """
         return not self.closed and self.nothing_to_read()
 
 
 class ConnectionPool:
-    """The connections to all backends."""
+    """The connections to all endpoints.
+
+    At most `max_connections` are open or being opened at once, so that file descriptors remain for the
+    connections of clients. An exchange opens one in three steps: ensure_capacity, track_opening, open.
+    """
 
     def __init__(
-        self, clock: Clock, connect_timeout_us: int, idle_timeout_us: int, most: int, rest_us: int = REST_US
+        self,
+        clock: Clock,
+        connect_timeout_us: int,
+        idle_timeout_us: int,
+        max_connections: int,
+        settle_time_us: int = SETTLE_TIME_US,
     ) -> None:
+        self.max_connections = max_connections
         self._clock = clock
-        self._connect_s = connect_timeout_us / 1e6
-        self._idle_us = int(idle_timeout_us * IDLE_SHARE)
-        self._rest_us = rest_us
-        self._most = most  # connections at once, so that descriptors are left for clients
-        self._idle: dict[EndpointId, list[PooledConnection]] = {}
-        self._open: set[PooledConnection] = set()
-        self.opening: set[asyncio.Task[None]] = set()  # each is about to open one
-
-    def room(self) -> bool:
-        """Whether one more connection may be opened; the longest idle one makes way."""
-        if len(self._open) + len(self.opening) < self._most:
+        self._connect_timeout_s = connect_timeout_us / 1e6
+        self._max_idle_us = int(idle_timeout_us * IDLE_TIMEOUT_SHARE)
+        self._settle_time_us = settle_time_us
+        self._idle: dict[EndpointId, list[PooledConnection]] = {}  # each list in order of idle_since_us
+        self._open: set[PooledConnection] = set()  # idle ones and those with an owner
+        self._opening: set[asyncio.Task[None]] = set()  # each is about to open one connection
+
+    @property
+    def open_connections(self) -> frozenset[PooledConnection]:
+        """All established connections, idle or not."""
+        return frozenset(self._open)
+
+    @property
+    def opening_count(self) -> int:
+        """How many connections are being opened."""
+        return len(self._opening)
+
+    # Opening
+
+    def ensure_capacity(self) -> bool:
+        """Whether one more connection may be opened; closes the one idle for longest if that makes it so."""
+        if len(self._open) + len(self._opening) < self.max_connections:
             return True
-        longest = min(
-            (kept[0] for kept in self._idle.values() if kept), key=lambda c: c.idle_since, default=None
+        longest_idle = min(
+            (idle[0] for idle in self._idle.values() if idle),
+            key=lambda connection: connection.idle_since_us,
+            default=None,
         )
-        if longest is None:
+        if longest_idle is None:
             return False
-        self.discard(longest)
+        self.discard(longest_idle)
         return True
 
-    async def open(self, member: ListedEndpoint) -> PooledConnection:
+    def track_opening(self, task: asyncio.Task[None]) -> None:
+        """Count a task that is about to open a connection against the limit until it has ended."""
+        self._opening.add(task)
+        task.add_done_callback(self._opening.discard)
+
+    async def open(self, listed: ListedEndpoint) -> PooledConnection:
+        """Open a connection; the caller owns it. Raises OSError, of which TimeoutError is one."""
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(self._connect_s):
+        async with asyncio.timeout(self._connect_timeout_s):
             _, connection = await loop.create_connection(
-                lambda: PooledConnection(self, member), member.address.host, member.address.port
+                lambda: PooledConnection(self, listed), listed.address.host, listed.address.port
             )
         self._open.add(connection)
         return connection
 
-    def take(self, member: ListedEndpoint) -> PooledConnection | None:
-        """The idle connection used last, if there is one that can be trusted."""
-        kept = self._idle.get(member.endpoint.id)
-        rested = self._clock.now() - self._rest_us
-        resting: list[PooledConnection] = []
-        found: PooledConnection | None = None
-        while kept and found is None:
-            connection = kept.pop()
-            if connection.idle_since > rested:
-                resting.append(connection)
-            elif member.same_process(connection.member) and connection.usable():
-                found = connection
-                if connection.retire is not None:
-                    connection.retire.cancel()
+    # Reuse
+
+    def acquire(self, listed: ListedEndpoint) -> PooledConnection | None:
+        """Hand out the most recently used idle connection that can be trusted, if there is one.
+
+        One that is not settled yet stays idle. One that leads to another process than the list now names,
+        or is not quiet, is discarded.
+        """
+        idle = self._idle.get(listed.endpoint.id)
+        if not idle:
+            return None
+        settled_before_us = self._clock.now() - self._settle_time_us
+        unsettled: list[PooledConnection] = []
+        acquired: PooledConnection | None = None
+        while idle and acquired is None:
+            connection = idle.pop()
+            if connection.idle_since_us > settled_before_us:
+                unsettled.append(connection)
+            elif listed.same_process(connection.listed) and connection.is_quiet():
+                acquired = connection
+                if connection.idle_timer is not None:
+                    connection.idle_timer.cancel()
             else:
                 self.discard(connection)
-        if kept is not None:
-            kept.extend(reversed(resting))
-        return found
-
-    def give_back(self, connection: PooledConnection, answered: bool, ready: ListedEndpoint | None) -> None:
-        """Keep a connection whose exchange is over in good order; close any other."""
-        connection.user = None
-        if (
-            not answered
-            or not connection.clean
-            or connection.closed
-            or not connection.all_written
-            or not connection.member.same_process(ready)
-        ):
+        idle.extend(reversed(unsettled))
+        return acquired
+
+    def release(
+        self, connection: PooledConnection, is_complete: bool, listed_now: ListedEndpoint | None
+    ) -> None:
+        """Take a connection back from its owner, to be reused or discarded.
+
+        It is reused only if its exchange `is_complete` (the response has arrived, or nothing was sent),
+        everything was written, nothing else has arrived, and the list (`listed_now`) still names the
+        process that it leads to.
+        """
+        connection.owner = None
+        is_reusable = (
+            is_complete
+            and connection.in_sync
+            and not connection.closed
+            and connection.all_written
+            and connection.listed.same_process(listed_now)
+        )
+        if not is_reusable:
             return self.discard(connection)
-        connection.idle_since = self._clock.now()
-        connection.retire = asyncio.get_running_loop().call_later(
-            self._idle_us / 1e6, self.discard, connection
+        connection.idle_since_us = self._clock.now()
+        connection.idle_timer = asyncio.get_running_loop().call_later(
+            self._max_idle_us / 1e6, self.discard, connection
         )
-        self._idle.setdefault(connection.member.endpoint.id, []).append(connection)
+        self._idle.setdefault(connection.listed.endpoint.id, []).append(connection)
+
+    # Closing
 
-    def forget(self, backend: EndpointId) -> None:
-        """Close its idle connections."""
-        for connection in self._idle.pop(backend, []):
+    def close_idle(self, endpoint_id: EndpointId) -> None:
+        """Close the idle connections to one endpoint."""
+        for connection in self._idle.pop(endpoint_id, []):
             self.discard(connection)
 
     def discard(self, connection: PooledConnection) -> None:
-        if connection.retire is not None:
-            connection.retire.cancel()
-        backend = connection.member.endpoint.id
-        kept = self._idle.get(backend)
-        if kept is not None and connection in kept:
-            kept.remove(connection)
-        if not kept:
-            self._idle.pop(backend, None)
+        """Close a connection at once and forget it. Harmless if that has happened before."""
+        if connection.idle_timer is not None:
+            connection.idle_timer.cancel()
+        endpoint_id = connection.listed.endpoint.id
+        idle = self._idle.get(endpoint_id)
+        if idle is not None and connection in idle:
+            idle.remove(connection)
+        if not idle:
+            self._idle.pop(endpoint_id, None)
         self._open.discard(connection)
         connection.abort()
--- a/nickelmount/agent/lifecycle.py
+++ b/nickelmount/agent/lifecycle.py
@@ -19,7 +19,7 @@
 from .agent import Agent
 from .clock import Clock
 from .config import Config, load, reload
-from .connection_pool import REST_US, ConnectionPool
+from .connection_pool import SETTLE_TIME_US, ConnectionPool
 from .discovery import LOCAL_WAIT_MS, WAIT_MS, DiscoveryClient
 from .downstream import ClientTimeouts
 from .listener import Listener, ShutdownTimes
@@ -35,12 +35,14 @@
 
 
 def assemble(
-    config: Config, clock: Clock, times: ClientTimeouts | None = None, rest_us: int = REST_US
+    config: Config, clock: Clock, times: ClientTimeouts | None = None, settle_time_us: int = SETTLE_TIME_US
 ) -> tuple[Agent, Listener]:
     """The parts, wired; nothing has started yet."""
     settings, both = config.settings, max(2, config.max_sockets - DESCRIPTORS_APART)
     clients = max(1, int(CLIENT_SHARE * both))
-    pool = ConnectionPool(clock, config.connect_timeout_us, config.idle_timeout_us, both - clients, rest_us)
+    pool = ConnectionPool(
+        clock, config.connect_timeout_us, config.idle_timeout_us, both - clients, settle_time_us
+    )
     backends = Upstream(clock, settings.load_report_fields, pool)
     discovery = DiscoveryClient(
         config.discovery,
--- a/nickelmount/agent/upstream.py
+++ b/nickelmount/agent/upstream.py
@@ -96,15 +96,13 @@
         member = self._chosen = self._backends.ready(self._backend)
         if member is None:
             return self._end(Outcome.NOT_SENT)
-        connection = self._backends.pool.take(member)
+        connection = self._backends.pool.acquire(member)
         if connection is not None:
             return self._write(connection)
-        if not self._backends.pool.room():
+        if not self._backends.pool.ensure_capacity():
             return self._end(Outcome.NOT_SENT)
         self._connecting = self._loop.create_task(self._connect(member))
-        opening = self._backends.pool.opening
-        opening.add(self._connecting)
-        self._connecting.add_done_callback(opening.discard)
+        self._backends.pool.track_opening(self._connecting)
 
     def cancel(self) -> None:
         # One whose connection has not come up was never sent: nothing of it is at the backend.
@@ -150,15 +148,15 @@
         # The list may have changed while the connection came up: nothing new goes to one that drains, nor a
         # repeat to one that has left its group.
         ready = self._backends.ready(self._backend)
-        if self.ended or not connection.member.same_process(ready) or not _same_group(self._chosen, ready):
+        if self.ended or not connection.listed.same_process(ready) or not _same_group(self._chosen, ready):
             self._backends.pool.discard(connection)
             return self._end(Outcome.NOT_SENT)
         # The time may be over for which it was chosen, though no timer has fired yet.
         now = self._backends.clock.now()
         if self._ask.client_has_left() or now >= self._write_until:
-            self._backends.pool.give_back(connection, True, connection.member)
+            self._backends.pool.release(connection, True, connection.listed)
             return self._end(Outcome.NOT_SENT)
-        self._connection, connection.user = connection, self
+        self._connection, connection.owner = connection, self
         ask, headers = self._ask, [HOST, *self._ask.headers]
         if ask.told_timeout:
             headers.append((b"Request-Timeout-Ms", b"%d" % max(1, (self._until - now) // 1000)))
@@ -205,7 +203,7 @@
             self._connecting.cancel()
         answer = self._answer
         if self._connection is not None:
-            self._backends.pool.give_back(
+            self._backends.pool.release(
                 self._connection, answer is not None, self._backends.ready(self._backend)
             )
         latency_us = self._backends.clock.now() - self._began
@@ -256,12 +254,12 @@
             else:
                 self._members[backend.id] = member
             if old is not None and not (old.same_process(member) and backend.status is EndpointStatus.READY):
-                self.pool.forget(backend.id)
+                self.pool.close_idle(backend.id)
         if listing.complete:
             named = {m.endpoint.id for m in listing.entries}
             for gone in [i for i in self._members if i not in named]:
                 changed.append(replace(self._members.pop(gone).endpoint, status=EndpointStatus.REMOVED))
-                self.pool.forget(gone)
+                self.pool.close_idle(gone)
         return changed
 
     def ready(self, backend: EndpointId) -> ListedEndpoint | None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -273,7 +273,7 @@
     config = load_config(folder, doc, clock)
     if most is not None:
         config = replace(config, max_sockets=most)
-    agent, server = assemble(config, clock, times, rest_us=0)
+    agent, server = assemble(config, clock, times, settle_time_us=0)
     agent.start(config.known_list)
     port = await server.listen(Address("127.0.0.1", 0))
     w = World(agent, server, port, discovery, peers)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -200,7 +200,7 @@
     async def run() -> None:
         # One connection to backends at most, and that one is busy: the next attempt ends unsent, at once.
         async with world(tmp_path) as w:
-            w.agent._backends.pool._most = 1
+            w.agent._backends.pool.max_connections = 1
             first = await w.ask(post())
             got = await w.request()
             second = await w.ask(post(UNSAFE, Request_Id="9b20"))
@@ -245,7 +245,7 @@
 def test_an_attempt_that_cannot_be_started_ends_in_the_module_too(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    whole, tries = ConnectionPool.take, list[int]()
+    whole, tries = ConnectionPool.acquire, list[int]()
 
     def take(self: ConnectionPool, member: ListedEndpoint) -> PooledConnection | None:
         tries.append(1)
@@ -253,7 +253,7 @@
             raise OSError("no descriptor for a poll")
         return whole(self, member)
 
-    monkeypatch.setattr(ConnectionPool, "take", take)
+    monkeypatch.setattr(ConnectionPool, "acquire", take)
 
     async def run() -> None:
         async with world(tmp_path, backends=2) as w:
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -72,7 +72,7 @@
     """To each backend an idle connection: what is sent is then written in the very turn."""
     pool = w.agent._backends.pool
     for there in listing(*w.backends).entries:
-        pool.give_back(await pool.open(there), True, there)
+        pool.release(await pool.open(there), True, there)
 
 
 async def taken(w: World, number: int) -> None:
@@ -299,7 +299,7 @@
                 let.set()  # who waits for it is next to run, ahead of whoever reads the close
                 caller.leave(leave)
             await forgotten(w)
-            assert not pool.opening
+            assert pool.opening_count == 0
 
     asyncio.run(run())
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -61,7 +61,7 @@
             client = await w.ask(post(UNSAFE))
             got = await w.request()
             here = attempt(w)
-            first = next(i for i, p in enumerate(w.backends) if p.port == here.member.address.port)
+            first = next(i for i, p in enumerate(w.backends) if p.port == here.listed.address.port)
             name, other = f"s{first}", w.backends[1 - first]
             got.peer.writer.write(DONE)
             readable(here)
@@ -166,7 +166,7 @@
             await (await new.requests.get()).answer()
             assert (await client.read()).status == 200
             assert old.requests.empty()
-            assert not pool.opening
+            assert pool.opening_count == 0
             await new.stop()
 
     asyncio.run(run())
@@ -230,7 +230,7 @@
             for _ in range(3):  # a typical latency is known
                 await idle(w)
             for name in ("s0", "s1"):
-                w.agent._backends.pool.forget(name)
+                w.agent._backends.pool.close_idle(name)
             late = Late(w, monkeypatch, nth=1)
             client = await w.ask(post(Request_Id="9b31"))
             await late.up.wait()
@@ -288,7 +288,7 @@
     async def run() -> None:
         async with world(tmp_path) as w:
             got = await idle(w)
-            (kept,) = w.agent._backends.pool._open
+            (kept,) = w.agent._backends.pool.open_connections
             client = await w.client()
             got.peer.writer.write(late)
             readable(kept)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -29,9 +29,9 @@
 
 
 def backends(
-    port: int, idle_us: int = 60_000_000, connect_us: int = 10_000_000, most: int = 9, rest_us: int = 0
+    port: int, idle_us: int = 60_000_000, connect_us: int = 10_000_000, most: int = 9, settle_time_us: int = 0
 ) -> Upstream:
-    made = Upstream(CLOCK, FIELDS, ConnectionPool(CLOCK, connect_us, idle_us, most, rest_us))
+    made = Upstream(CLOCK, FIELDS, ConnectionPool(CLOCK, connect_us, idle_us, most, settle_time_us))
     made.apply(listing(port))
     return made
 
@@ -277,7 +277,7 @@
     # A copy of the answer still on its way would be read as the answer to the next request.
     async def run() -> None:
         peer = await Peer().start()
-        b = backends(peer.port, rest_us=60_000_000)
+        b = backends(peer.port, settle_time_us=60_000_000)
         first = await served(b, peer)
         end = begin(b)
         message = await peer.requests.get()
