--- a/nickelmount/agent/agent.py
+++ b/nickelmount/agent/agent.py
@@ -38,7 +38,8 @@
 from .discovery import Address, DiscoveryClient, EndpointList
 from .http import Headers
 from .request_validation import ClientRequest
-from .upstream import Exchange, ExchangeResult, Upstream, UpstreamRequest
+from .upstream import Upstream
+from .upstream_exchange import Exchange, ExchangeResult, UpstreamRequest
 
 log = logging.getLogger(__name__)
 
@@ -195,8 +196,8 @@
             call.target,
             call.headers,
             call.body,
-            told_timeout=True,
-            client_has_left=call.client_has_left,
+            sends_timeout=True,
+            client_has_disconnected=call.client_has_left,
         )
 
         def done(result: ExchangeResult) -> None:
@@ -205,8 +206,8 @@
                 self.client_left(call)
             self._attempt_ended(number, attempt, a.endpoint_id, result)
 
-        exchange = self._backends.exchange(a.endpoint_id, ask, a.timeout_us, done)
-        if not exchange.ended:
+        exchange = self._backends.start_attempt(a.endpoint_id, ask, a.timeout_us, done)
+        if not exchange.has_ended:
             self._out[number, attempt] = exchange
         if a.write_within_us:
             # An earlier one whose connection is still to come up would be the repeat if this one ran first.
@@ -229,7 +230,7 @@
                 result.outcome,
                 result.latency_us,
                 number not in self._held,
-                result.report,
+                result.load_report,
             )
         )
 
@@ -250,9 +251,9 @@
 
     def _probe(self, a: SendProbe) -> None:
         def done(result: ExchangeResult) -> None:
-            self._post(ProbeEnded(a.endpoint_id, result.outcome, result.latency_us, result.report))
+            self._post(ProbeEnded(a.endpoint_id, result.outcome, result.latency_us, result.load_report))
 
-        self._backends.probe(a.endpoint_id, done)
+        self._backends.start_probe(a.endpoint_id, done)
 
     def _watch(self, a: WatchEndpoints) -> None:
         self._discovery.watch(self._listed)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -35,8 +35,8 @@
 def attempt(w: World) -> PooledConnection:
     """The connection of the one attempt that is out."""
     (exchange,) = w.agent._out.values()
-    assert exchange._connection is not None
-    return exchange._connection
+    assert exchange.connection is not None
+    return exchange.connection
 
 
 def test_an_answer_in_the_kernel_goes_before_the_time_out_that_is_due(tmp_path: Path) -> None:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -14,8 +14,10 @@
 from nickelmount.agent.connection import Connection
 from nickelmount.agent.connection_pool import ConnectionPool
 from nickelmount.agent.discovery import EndpointList, EndpointListParser
-from nickelmount.agent.upstream import ExchangeResult, Upstream, UpstreamRequest, parse_report
+from nickelmount.agent.upstream import Upstream
+from nickelmount.agent.upstream_exchange import ExchangeResult, UpstreamRequest
 from nickelmount.balancer.events import Outcome
+from nickelmount.protocol.load_report import parse_load_report
 from tests.loopback import Message, Peer, member
 
 FIELDS = ("inflight", "queue", "util")
@@ -40,7 +42,7 @@
     b: Upstream, ask: UpstreamRequest = ASK, timeout_us: int = 60_000_000
 ) -> asyncio.Future[ExchangeResult]:
     end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
-    b.exchange("s", ask, timeout_us, end.set_result)
+    b.start_attempt("s", ask, timeout_us, end.set_result)
     return end
 
 
@@ -158,7 +160,7 @@
             there = backends(peer.getsockname()[1])
             end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
             large = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"x" * 50_000_000)
-            exchange = there.exchange("s", large, 60_000_000, end.set_result)
+            exchange = there.start_attempt("s", large, 60_000_000, end.set_result)
             taken, _ = await asyncio.get_running_loop().sock_accept(peer)
             with taken:
                 exchange.write_within(50_000)
@@ -177,7 +179,7 @@
     async def run() -> None:
         peer = await Peer().start()
         end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
-        exchange = backends(peer.port).exchange("s", ASK, 60_000_000, end.set_result)
+        exchange = backends(peer.port).start_attempt("s", ASK, 60_000_000, end.set_result)
         got = await peer.requests.get()
         exchange.write_within(1)
         await asyncio.sleep(0.02)
@@ -200,7 +202,7 @@
             end.set_result(result)
 
         taken: list[Message] = []
-        b.exchange("s", ASK, 1_000_000, done)
+        b.start_attempt("s", ASK, 1_000_000, done)
         taken.append(await peer.requests.get())
         assert (await end).outcome is Outcome.TIMEOUT
         assert told == [True]
@@ -368,7 +370,7 @@
             )
         )
         end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
-        b.exchange("t", ASK, 60_000_000, end.set_result)
+        b.start_attempt("t", ASK, 60_000_000, end.set_result)
         await message.peer.ended()
         await (await other.requests.get()).answer()
         assert (await end).outcome is Outcome.OK
@@ -394,7 +396,7 @@
     ],
 )
 def test_a_bad_report_is_no_report(text: str | None, report: tuple[float, ...]) -> None:
-    assert parse_report(text, FIELDS) == report
+    assert parse_load_report(text, FIELDS) == report
 
 
 def test_an_answer_of_400_kb_is_served_whole() -> None:
@@ -418,7 +420,7 @@
         end = begin(backends(peer.port))
         message: Message = await peer.requests.get()
         await message.answer(500, b"", Server_Load="inflight=7,queue=2,util=0.61")
-        assert (await end).report == (7.0, 2.0, 0.61)
+        assert (await end).load_report == (7.0, 2.0, 0.61)
         await peer.stop()
 
     asyncio.run(asyncio.wait_for(run(), 60))
