--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -147,11 +147,11 @@
         ("s5", EndpointStatus.READY),
         ("s9", EndpointStatus.REMOVED),
     ]
-    assert there.ready("s9") is None
-    assert there.ready("s3") is None
+    assert there.ready_endpoint("s9") is None
+    assert there.ready_endpoint("s3") is None
     (back,) = there.apply(read.parse(whole(4, changed)))
     assert back.id == "s9"
-    assert there.ready("s9") is not None
+    assert there.ready_endpoint("s9") is not None
 
 
 def test_an_entry_that_reads_as_before_is_the_same_and_what_is_not_listed_is_not_kept() -> None:
