--- a/nickelmount/agent/agent.py
+++ b/nickelmount/agent/agent.py
@@ -1,4 +1,19 @@
-"""The agent: the only caller of the decision module, which carries out what it decides."""
+"""The agent's core: the only caller of the balancer. Events go in, and its actions are carried out.
+
+Who owns what, and where each ends exactly once:
+
+- A request is pending from `accept` until `_close_request`, the only place that removes it from `_pending`.
+  That happens with its final answer (`_answer`) or when its client disconnects (`client_left`). Attempts that
+  are still in flight are cancelled there, before the answer is sent. Nothing is sent for it afterwards.
+- An attempt belongs to its Exchange from `_send_attempt` until the exchange has ended, and is in `_in_flight`
+  as long. The balancer counts attempts by AttemptEnded, so each SendAttempt leads to exactly one:
+  `_on_attempt_end` posts it when the exchange ends, and `_end_unsent` where no exchange was started.
+- A connection to an endpoint belongs to an exchange or to the connection pool; see connection_pool.
+- A connection to a client belongs to the listener. A pending request reaches it only through
+  `ClientRequest.respond`.
+
+Events are handled one at a time in order of arrival; see `_dispatch`.
+"""
 
 from __future__ import annotations
 
@@ -10,6 +25,7 @@
 from typing import Any
 
 from nickelmount.balancer.actions import (
+    Action,
     CancelAttempt,
     FailRequest,
     FetchEndpoints,
@@ -24,7 +40,6 @@
 from nickelmount.balancer.events import (
     AttemptEnded,
     ClientDisconnected,
-    EndpointId,
     EndpointsChanged,
     Event,
     ListUpdateKind,
@@ -43,230 +58,289 @@
 
 log = logging.getLogger(__name__)
 
-# The module answers when a request's time is up; were it to fail, the agent answers this much later, within
-# the 50 ms that the protocol allows.
-OVERDUE_S = 0.025
+# The balancer gives the final answer when a request's timeout is over. If a fault keeps it from that, the
+# agent answers so much later itself: the protocol allows 50 ms.
+FALLBACK_ANSWER_DELAY_S = 0.025
+
+NO_REQUEST_ID = 0  # request ids count from 1
+
+REJECTED_BODY = b"refused\n"
+FAILED_BODY = b"failed\n"
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request without its final answer."""
+    """A request that has no final answer yet."""
 
-    call: ClientRequest
-    overdue: asyncio.TimerHandle
-    attempts: int = 0  # sent so far
+    client_request: ClientRequest
+    fallback_timer: asyncio.TimerHandle  # answers in place of a balancer that does not
+    attempt_count: int = 0  # attempts that were started so far, ended ones included
 
 
 class Agent:
-    """Hands events to the module one at a time, in order of arrival, and carries out its actions."""
+    """Hands events to the balancer and carries out its actions. Runs on one event loop, without threads."""
 
     def __init__(
-        self, balancer: Balancer, clock: Clock, backends: Upstream, discovery: DiscoveryClient
+        self, balancer: Balancer, clock: Clock, upstream: Upstream, discovery: DiscoveryClient
     ) -> None:
         self._balancer, self._clock = balancer, clock
-        self._backends, self._discovery = backends, discovery
+        self._upstream, self._discovery = upstream, discovery
         self._loop = asyncio.get_running_loop()
-        self._held: dict[int, PendingRequest] = {}
-        self._out: dict[tuple[int, int], Exchange] = {}  # attempts without an end
-        self._events: deque[Event] = deque()
-        self._handling = False
-        self._taken = 0
-        self._carriers: dict[type, Callable[[Any], None]] = {
-            SendAttempt: self._send,
-            RejectRequest: self._refuse,
+        self._pending: dict[int, PendingRequest] = {}  # by request id
+        self._in_flight: dict[tuple[int, int], Exchange] = {}  # by request id and attempt
+        self._accepted_count = 0
+        self._events: deque[Event] = deque()  # not handled yet
+        self._is_dispatching = False
+        self._executors: dict[type, Callable[[Any], None]] = {
+            SendAttempt: self._send_attempt,
+            RejectRequest: self._reject,
             FailRequest: self._fail,
-            CancelAttempt: self._cancel,
+            CancelAttempt: self._cancel_attempt,
             SetTimer: self._set_timer,
-            SendProbe: self._probe,
-            WatchEndpoints: self._watch,
-            FetchEndpoints: self._fetch,
-            LogMessage: self._log,
+            SendProbe: self._send_probe,
+            WatchEndpoints: self._watch_endpoints,
+            FetchEndpoints: self._fetch_endpoints,
+            LogMessage: self._log_message,
         }
 
-    def start(self, known: EndpointList) -> None:
-        self._post(EndpointsChanged(ListUpdateKind.CACHED, self._backends.apply(known)))
-
-    def change_discovery(self, discovery: Address) -> None:
-        """Learn of backends there from now on."""
-        self._discovery.change_address(discovery, self._listed)
-
-    # The application's side
-
-    def accept(self, call: ClientRequest) -> None:
-        self._taken += 1
-        call.number = self._taken
-        overdue = self._loop.call_later(call.timeout_us / 1e6 + OVERDUE_S, self._overdue, call.number)
-        self._held[call.number] = PendingRequest(call, overdue)
-        self._post(
+    @property
+    def upstream(self) -> Upstream:
+        """The endpoints that the agent knows."""
+        return self._upstream
+
+    @property
+    def accepted_count(self) -> int:
+        """How many requests were accepted since the start."""
+        return self._accepted_count
+
+    @property
+    def pending_count(self) -> int:
+        """How many requests have no final answer yet."""
+        return len(self._pending)
+
+    @property
+    def exchanges_in_flight(self) -> tuple[Exchange, ...]:
+        """The exchanges of all attempts that have not ended."""
+        return tuple(self._in_flight.values())
+
+    def start(self, cached_list: EndpointList) -> None:
+        """Begin with the endpoint list that was cached; the balancer then asks for the current one."""
+        self._dispatch(EndpointsChanged(ListUpdateKind.CACHED, self._upstream.apply(cached_list)))
+
+    def change_discovery(self, address: Address) -> None:
+        """Use the discovery at this address from now on."""
+        self._discovery.change_address(address, self.on_endpoint_list)
+
+    # Requests: accepted, answered, closed
+
+    def accept(self, request: ClientRequest) -> None:
+        """Become responsible for a request: it gets one final answer unless its client disconnects."""
+        self._accepted_count += 1
+        request_id = request.number = self._accepted_count
+        fallback_timer = self._loop.call_later(
+            request.timeout_us / 1e6 + FALLBACK_ANSWER_DELAY_S, self._answer_overdue, request_id
+        )
+        self._pending[request_id] = PendingRequest(request, fallback_timer)
+        self._dispatch(
             RequestArrived(
-                call.number,
-                call.request_class,
-                call.timeout_us,
-                call.tenant,
-                call.cost_us,
-                call.is_retry,
+                request_id,
+                request.request_class,
+                request.timeout_us,
+                request.tenant,
+                request.cost_us,
+                request.is_retry,
             )
         )
 
-    def client_left(self, call: ClientRequest) -> None:
-        if self._over(call.number) is not None:
-            self._post(ClientDisconnected(call.number))
+    def client_left(self, request: ClientRequest) -> None:
+        """Close a request whose client has disconnected; harmless if it is closed already."""
+        if self._close_request(request.number) is not None:
+            self._dispatch(ClientDisconnected(request.number))
 
     def finish_all(self) -> None:
-        for number, held in list(self._held.items()):
-            if held.attempts:
-                self._give_up(number)
-            else:  # nothing of it was sent on, so trying again is harmless
-                self._answer(number, 503, [], b"refused\n")
-                self._post(ClientDisconnected(number))
-
-    def _overdue(self, number: int) -> None:
-        log.error("request %d: no answer from the module in time", number)
-        self._give_up(number)
-
-    def _give_up(self, number: int) -> None:
-        """The final answer where the module gave none. A failure is always true."""
-        if number in self._held:
-            self._answer(number, 500, [], b"failed\n")
-            self._post(ClientDisconnected(number))
-
-    def _answer(self, number: int, status: int, headers: Headers, body: bytes) -> None:
-        held = self._over(number)
-        if held is not None:
-            held.call.respond(held.call, status, headers, body)
-
-    def _over(self, number: int) -> PendingRequest | None:
-        """Nothing more goes out for this request: what is still out is closed before its answer is given."""
-        held = self._held.pop(number, None)
-        if held is not None:
-            held.overdue.cancel()
-            for attempt in range(held.attempts):
-                if (number, attempt) in self._out:
-                    self._out[number, attempt].cancel()
-        return held
-
-    # Events in
-
-    def _post(self, event: Event) -> None:
-        """Queued while another is handled: an action may end at once, and handle must not be re-entered."""
+        """Answer every pending request at once. One that was never sent is rejected; any other has failed."""
+        for request_id, pending in list(self._pending.items()):
+            if pending.attempt_count:
+                self._answer_failed(request_id)
+            else:  # nothing of it was sent, so trying again is harmless
+                self._answer(request_id, 503, [], REJECTED_BODY)
+                self._dispatch(ClientDisconnected(request_id))
+
+    def _answer_overdue(self, request_id: int) -> None:
+        log.error("request %d: the balancer gave no answer in time", request_id)
+        self._answer_failed(request_id)
+
+    def _answer_failed(self, request_id: int) -> None:
+        """Answer in place of the balancer, if the request is pending. "Failed" promises nothing."""
+        if request_id in self._pending:
+            self._answer(request_id, 500, [], FAILED_BODY)
+            self._dispatch(ClientDisconnected(request_id))
+
+    def _answer(self, request_id: int, status: int, headers: Headers, body: bytes) -> None:
+        """Give the final answer, unless the request is closed."""
+        pending = self._close_request(request_id)
+        if pending is not None:
+            pending.client_request.respond(pending.client_request, status, headers, body)
+
+    def _close_request(self, request_id: int) -> PendingRequest | None:
+        """Cancel what is in flight for a request and forget it; None if that has happened before.
+
+        Called before the answer is sent: a client that has its answer may send the request again, and the
+        endpoints must have seen the earlier attempts closed by then.
+        """
+        pending = self._pending.pop(request_id, None)
+        if pending is not None:
+            pending.fallback_timer.cancel()
+            for attempt in range(pending.attempt_count):
+                if (request_id, attempt) in self._in_flight:
+                    self._in_flight[request_id, attempt].cancel()
+        return pending
+
+    # Events to the balancer
+
+    def _dispatch(self, event: Event) -> None:
+        """Handle an event, or queue it while another is being handled.
+
+        An action may end at once, for example an attempt for which no connection may be opened. Its event
+        would then reach the balancer while the other actions of the same decision still wait: they would be
+        carried out after those of a later decision.
+        """
         self._events.append(event)
-        if self._handling:
+        if self._is_dispatching:
             return
-        self._handling = True
+        self._is_dispatching = True
         try:
             while self._events:
-                self._handle(self._events.popleft())
+                self._handle_event(self._events.popleft())
         finally:
-            self._handling = False
+            self._is_dispatching = False
 
-    def _handle(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         try:
             actions = self._balancer.handle(self._clock.now(), event)
         except Exception:
-            # The request that the module stumbled on is still owed its answer, and others are to go on.
-            log.exception("the module failed on %s", type(event).__name__)
-            number = getattr(event, "request_id", 0)
-            self._give_up(number)
+            # Catches all: a fault of the balancer must cost no more than the request of this event, which is
+            # still owed its answer. Other requests go on.
+            log.exception("the balancer failed on %s", type(event).__name__)
+            self._answer_failed(getattr(event, "request_id", NO_REQUEST_ID))
             return
         for action in actions:
-            try:
-                self._carriers[type(action)](action)
-            except Exception:
-                log.exception("could not carry out %s", type(action).__name__)
-                self._give_up(getattr(action, "request_id", 0))
-                if isinstance(action, SendAttempt) and (action.request_id, action.attempt) not in self._out:
-                    self._not_sent(action)
-
-    # Actions out
-
-    def _send(self, a: SendAttempt) -> None:
-        held = self._held.get(a.request_id)
-        if held is None:
-            # Its answer was given while the module's events waited in the queue. The module counts what it
-            # has out by the ends that it is told.
-            return self._not_sent(a)
-        if held.call.client_has_left():
-            # Not read yet: its close came while the loop was busy with others.
-            self.client_left(held.call)
-            return self._not_sent(a)
-        number, attempt, call = a.request_id, a.attempt, held.call
-        held.attempts = attempt + 1
-        ask = UpstreamRequest(
-            call.method,
-            call.target,
-            call.headers,
-            call.body,
-            sends_timeout=True,
-            client_has_disconnected=call.client_has_left,
-        )
+            self._execute(action)
 
-        def done(result: ExchangeResult) -> None:
-            self._out.pop((number, attempt), None)
-            if result.outcome is Outcome.NOT_SENT and call.client_has_left():
-                self.client_left(call)
-            self._attempt_ended(number, attempt, a.endpoint_id, result)
+    # Actions of the balancer
 
-        exchange = self._backends.start_attempt(a.endpoint_id, ask, a.timeout_us, done)
+    def _execute(self, action: Action) -> None:
+        try:
+            self._executors[type(action)](action)
+        except Exception:
+            # Catches all: the other actions of this decision must be carried out, the request is owed its
+            # answer, and an attempt without an end would count as in flight for ever.
+            log.exception("could not carry out %s", type(action).__name__)
+            self._answer_failed(getattr(action, "request_id", NO_REQUEST_ID))
+            if isinstance(action, SendAttempt) and (action.request_id, action.attempt) not in self._in_flight:
+                self._end_unsent(action)
+
+    def _send_attempt(self, action: SendAttempt) -> None:
+        pending = self._pending.get(action.request_id)
+        if pending is None:
+            # The request was closed while events were queued, after the balancer had decided on this attempt.
+            return self._end_unsent(action)
+        request = pending.client_request
+        if request.client_has_left():
+            # The close is in the kernel and not read yet: the event loop was busy with other connections.
+            self.client_left(request)
+            return self._end_unsent(action)
+        pending.attempt_count = action.attempt + 1
+        exchange = self._upstream.start_attempt(
+            action.endpoint_id,
+            UpstreamRequest(
+                request.method,
+                request.target,
+                request.headers,
+                request.body,
+                sends_timeout=True,
+                client_has_disconnected=request.client_has_left,
+            ),
+            action.timeout_us,
+            lambda result: self._on_exchange_end(action, request, result),
+        )
         if not exchange.has_ended:
-            self._out[number, attempt] = exchange
-        if a.write_within_us:
-            # An earlier one whose connection is still to come up would be the repeat if this one ran first.
-            for n in range(attempt + 1):
-                if (number, n) in self._out:
-                    self._out[number, n].write_within(a.write_within_us)
-
-    def _not_sent(self, a: SendAttempt) -> None:
-        self._attempt_ended(a.request_id, a.attempt, a.endpoint_id, ExchangeResult(Outcome.NOT_SENT, 0))
-
-    def _attempt_ended(self, number: int, attempt: int, backend: EndpointId, result: ExchangeResult) -> None:
+            self._in_flight[action.request_id, action.attempt] = exchange
+        if action.write_within_us:
+            self._limit_writing(action)
+
+    def _limit_writing(self, action: SendAttempt) -> None:
+        """Bound when this attempt, and earlier ones of the request, may still be sent.
+
+        If this one runs first, an earlier one whose connection is established only later is the repeat.
+        """
+        for attempt in range(action.attempt + 1):
+            if (action.request_id, attempt) in self._in_flight:
+                self._in_flight[action.request_id, attempt].write_within(action.write_within_us)
+
+    def _on_exchange_end(self, action: SendAttempt, request: ClientRequest, result: ExchangeResult) -> None:
+        self._in_flight.pop((action.request_id, action.attempt), None)
+        if result.outcome is Outcome.NOT_SENT and request.client_has_left():
+            self.client_left(request)
+        self._on_attempt_end(action, result)
+
+    def _end_unsent(self, action: SendAttempt) -> None:
+        self._on_attempt_end(action, ExchangeResult(Outcome.NOT_SENT, latency_us=0))
+
+    def _on_attempt_end(self, action: SendAttempt, result: ExchangeResult) -> None:
+        """Answer the client if the attempt succeeded, and report its end to the balancer."""
         if result.outcome is Outcome.OK:
-            kind = [("Content-Type", result.content_type)] if result.content_type else []
-            self._answer(number, 200, kind, result.body)
-        self._post(
+            headers = [("Content-Type", result.content_type)] if result.content_type else []
+            self._answer(action.request_id, 200, headers, result.body)
+        self._dispatch(
             AttemptEnded(
-                number,
-                attempt,
-                backend,
+                action.request_id,
+                action.attempt,
+                action.endpoint_id,
                 result.outcome,
                 result.latency_us,
-                number not in self._held,
+                action.request_id not in self._pending,
                 result.load_report,
             )
         )
 
-    def _refuse(self, a: RejectRequest) -> None:
-        advice = [("Retry-After", f"{a.retry_after_us / 1e6:.6f}")] if a.retry_after_us else []
-        self._answer(a.request_id, 503, advice, b"refused\n")
+    def _reject(self, action: RejectRequest) -> None:
+        headers = [("Retry-After", f"{action.retry_after_us / 1e6:.6f}")] if action.retry_after_us else []
+        self._answer(action.request_id, 503, headers, REJECTED_BODY)
 
-    def _fail(self, a: FailRequest) -> None:
-        self._answer(a.request_id, 502, [], b"failed\n")
+    def _fail(self, action: FailRequest) -> None:
+        self._answer(action.request_id, 502, [], FAILED_BODY)
 
-    def _cancel(self, a: CancelAttempt) -> None:
-        exchange = self._out.get((a.request_id, a.attempt))
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        exchange = self._in_flight.get((action.request_id, action.attempt))
         if exchange is not None:
             exchange.cancel()
 
-    def _set_timer(self, a: SetTimer) -> None:
-        self._loop.call_later(a.delay_us / 1e6, self._post, TimerFired(a.token))
+    def _set_timer(self, action: SetTimer) -> None:
+        self._loop.call_later(action.delay_us / 1e6, self._dispatch, TimerFired(action.token))
 
-    def _probe(self, a: SendProbe) -> None:
-        def done(result: ExchangeResult) -> None:
-            self._post(ProbeEnded(a.endpoint_id, result.outcome, result.latency_us, result.load_report))
+    def _send_probe(self, action: SendProbe) -> None:
+        def on_end(result: ExchangeResult) -> None:
+            self._dispatch(
+                ProbeEnded(action.endpoint_id, result.outcome, result.latency_us, result.load_report)
+            )
 
-        self._backends.start_probe(a.endpoint_id, done)
+        self._upstream.start_probe(action.endpoint_id, on_end)
 
-    def _watch(self, a: WatchEndpoints) -> None:
-        self._discovery.watch(self._listed)
+    def _watch_endpoints(self, _: WatchEndpoints) -> None:
+        self._discovery.watch(self.on_endpoint_list)
 
-    def _fetch(self, a: FetchEndpoints) -> None:
-        self._discovery.fetch(self._listed)
+    def _fetch_endpoints(self, _: FetchEndpoints) -> None:
+        self._discovery.fetch(self.on_endpoint_list)
 
-    def _listed(self, listing: EndpointList | None) -> None:
-        if listing is None:
-            self._post(EndpointsChanged(ListUpdateKind.FAILED, []))
+    def on_endpoint_list(self, endpoint_list: EndpointList | None) -> None:
+        """Take in an answer of discovery; None: the call failed, or the watch broke."""
+        if endpoint_list is None:
+            self._dispatch(EndpointsChanged(ListUpdateKind.FAILED, []))
             return
-        # Of a whole list, too, the module is told what it changes.
-        self._post(EndpointsChanged(ListUpdateKind.DELTA, self._backends.apply(listing)))
+        # Of a complete list, too, the balancer gets only what it changes.
+        changed = self._upstream.apply(endpoint_list)
+        self._dispatch(EndpointsChanged(ListUpdateKind.DELTA, changed))
 
-    def _log(self, a: LogMessage) -> None:
-        log.info("%s", a.text)
+    def _log_message(self, action: LogMessage) -> None:
+        log.info("%s", action.text)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -187,7 +187,7 @@
 
     from nickelmount.agent.agent import Agent
 
-    handled = Agent._handle
+    handled = Agent._handle_event
 
     def agent_handle(self: Agent, event: Event) -> None:
         depth[0] += 1
@@ -195,12 +195,12 @@
         depth[0] -= 1
 
     monkeypatch.setattr(Balancer, "handle", handle)
-    monkeypatch.setattr(Agent, "_handle", agent_handle)
+    monkeypatch.setattr(Agent, "_handle_event", agent_handle)
 
     async def run() -> None:
         # One connection to backends at most, and that one is busy: the next attempt ends unsent, at once.
         async with world(tmp_path) as w:
-            w.agent._backends.pool.max_connections = 1
+            w.agent.upstream.pool.max_connections = 1
             first = await w.ask(post())
             got = await w.request()
             second = await w.ask(post(UNSAFE, Request_Id="9b20"))
@@ -221,7 +221,7 @@
     def handle(self: Balancer, now: int, event: Event) -> list[Any]:
         actions = whole(self, now, event)
         if isinstance(event, RequestArrived) and event.request_id <= 3:
-            agents[0]._give_up(event.request_id)  # between the decision and its being carried out
+            agents[0]._answer_failed(event.request_id)  # between the decision and its being carried out
         return actions
 
     monkeypatch.setattr(Balancer, "handle", handle)
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -70,13 +70,13 @@
 
 async def kept_open(w: World) -> None:
     """To each backend an idle connection: what is sent is then written in the very turn."""
-    pool = w.agent._backends.pool
+    pool = w.agent.upstream.pool
     for there in listing(*w.backends).entries:
         pool.release(await pool.open(there), True, there)
 
 
 async def taken(w: World, number: int) -> None:
-    while w.agent._taken < number:
+    while w.agent.accepted_count < number:
         await asyncio.sleep(0)
 
 
@@ -86,8 +86,8 @@
         await asyncio.sleep(0)
     await asyncio.sleep(0.3)  # what were sent on nevertheless would have come by now
     balancer = w.agent._balancer
-    assert not w.agent._held
-    assert not w.agent._out
+    assert w.agent.pending_count == 0
+    assert w.agent.exchanges_in_flight == ()
     assert w.nothing_sent()
     assert not balancer.requests
     assert not balancer.waiting
@@ -122,7 +122,7 @@
             caller.socket.send(post(UNSAFE))
             await taken(w, 1)
             caller.leave(leave)
-            w.agent._listed(listing(peer))  # what it waited for comes before its close is read
+            w.agent.on_endpoint_list(listing(peer))  # what it waited for comes before its close is read
             await forgotten(w)
 
     asyncio.run(run())
@@ -138,7 +138,7 @@
             await taken(w, 40)
             for caller in callers:
                 caller.leave(leave)
-            w.agent._listed(listing(peer))
+            w.agent.on_endpoint_list(listing(peer))
             await forgotten(w)
 
     asyncio.run(run())
@@ -203,11 +203,11 @@
             caller.socket.send(post(cls))
             ends(await w.request())  # in the kernel at once, and so it is read first
             caller.leave(leave)
-            while w.agent._held:
+            while w.agent.pending_count:
                 await asyncio.sleep(0)
             await asyncio.sleep(0.3)
             assert w.nothing_sent()
-            assert not w.agent._out
+            assert w.agent.exchanges_in_flight == ()
             assert w.agent._balancer.out == 0
 
     asyncio.run(run())
@@ -218,7 +218,7 @@
     balancer, now = w.agent._balancer, w.agent._clock.now
     late_us = max(0, balancer.due[0][0] - now())
     w.agent._clock.now = lambda: now() + late_us  # type: ignore[method-assign]
-    w.agent._post(TimerFired(balancer.armed))
+    w.agent._dispatch(TimerFired(balancer.armed))
 
 
 STAYING = pytest.mark.parametrize("leave", [None, by_fin, by_reset])
@@ -234,7 +234,7 @@
             caller = await Caller(w).accepted()
             caller.socket.send(post(UNSAFE))
             await taken(w, 1)
-            w.agent._listed(listing(peer))
+            w.agent.on_endpoint_list(listing(peer))
             if leave is not None:
                 caller.leave(leave)
             timer_falls_due(w)
@@ -276,7 +276,7 @@
 ) -> None:
     async def run() -> None:
         async with world(tmp_path) as w:
-            pool = w.agent._backends.pool
+            pool = w.agent.upstream.pool
             opened, let = asyncio.Event(), asyncio.Event()
             to_open = pool.open
 
@@ -292,7 +292,7 @@
             await opened.wait()
             if read:
                 caller.leave(leave)
-                while w.agent._held:
+                while w.agent.pending_count:
                     await asyncio.sleep(0)
                 let.set()
             else:  # the connection is up in the very turn
@@ -325,7 +325,7 @@
         async with world(tmp_path, backends=0, probes=True) as w:
             peer = await Unprobed().start()
             w.backends.append(peer)
-            w.agent._listed(listing(peer))
+            w.agent.on_endpoint_list(listing(peer))
             caller = await Caller(w).accepted()
             caller.socket.send(post(UNSAFE))
             probe = await peer.requests.get()
@@ -348,8 +348,8 @@
             await out.peer.ended()
             while w.server.connections:
                 await asyncio.sleep(0)
-            assert not w.agent._held
-            assert not w.agent._out
+            assert w.agent.pending_count == 0
+            assert w.agent.exchanges_in_flight == ()
             assert w.agent._balancer.out == 0
             assert not w.agent._balancer.requests
 
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -108,8 +108,8 @@
         async with world(tmp_path) as w:
             client = await w.ask(request)
             assert (await client.read()).status == status
-            assert not w.agent._held
-            assert not w.agent._taken
+            assert w.agent.pending_count == 0
+            assert not w.agent.accepted_count
             # And the next one is served.
             client = await w.ask(post(body=b"x" * 65_536))
             await (await w.request()).answer()
@@ -141,7 +141,7 @@
             await got.answer()
             assert (await client.read()).status == 200
             assert (await client.read()).status == 400
-            assert w.agent._taken == 1
+            assert w.agent.accepted_count == 1
             assert w.nothing_sent()
 
     asyncio.run(run())
@@ -156,7 +156,7 @@
             assert (await other.read()).status == 409
             await got.answer(200, b"owner's")
             assert (await owner.read()).body == b"owner's"
-            assert w.agent._taken == 1
+            assert w.agent.accepted_count == 1
             assert w.nothing_sent()
             await other.write(post())  # the id is free again
             await (await w.request()).answer()
@@ -201,7 +201,7 @@
             if status is not None:
                 assert (await client.read()).status == status
             await client.ended()
-            assert not w.agent._taken
+            assert not w.agent.accepted_count
 
     asyncio.run(run())
 
@@ -410,7 +410,7 @@
             await client.write(post(Request_Id="9b21"))
             while w.server.connections:
                 await asyncio.sleep(0)
-            assert w.agent._taken == 1
+            assert w.agent.accepted_count == 1
             assert w.nothing_sent()
 
     asyncio.run(run())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -280,7 +280,7 @@
                 await asyncio.sleep(0.02)
             serving = {x.id for x in standin._catalog.entries("SERVING")}
             for a in agents:
-                assert {s.id for s in a.agent._balancer.ready} == serving == a.agent._backends.endpoint_ids
+                assert {s.id for s in a.agent._balancer.ready} == serving == a.agent.upstream.endpoint_ids
                 a.end()
         finally:
             await standin.close()
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -34,7 +34,7 @@
 
 def attempt(w: World) -> PooledConnection:
     """The connection of the one attempt that is out."""
-    (exchange,) = w.agent._out.values()
+    (exchange,) = w.agent.exchanges_in_flight
     assert exchange.connection is not None
     return exchange.connection
 
@@ -48,7 +48,7 @@
             readable(attempt(w))
             time.sleep(0.45)  # the loop is held up; both are due at its next turn
             assert (await client.read()).status == 200
-            assert not w.agent._out
+            assert w.agent.exchanges_in_flight == ()
             assert w.agent._balancer.out == 0
 
     asyncio.run(run())
@@ -66,7 +66,7 @@
             got.peer.writer.write(DONE)
             readable(here)
             port = w.backends[first].port
-            w.agent._listed(
+            w.agent.on_endpoint_list(
                 {
                     "drains": listing(member(name, port, "DRAINING")),
                     "goes": listing(member(name, port, "DELETED")),
@@ -101,7 +101,7 @@
                 got.peer.close()
             assert (await client.read()).status == 502  # neither served nor refused
             assert w.nothing_sent()
-            assert not w.agent._out
+            assert w.agent.exchanges_in_flight == ()
             assert not w.agent._balancer.requests
 
     asyncio.run(run())
@@ -137,7 +137,7 @@
             second = await w.request()
             assert first.peer.over is not None
             await first.peer.ended()
-            assert len(w.agent._out) == 1
+            assert len(w.agent.exchanges_in_flight) == 1
             await second.answer()
             assert (await client.read()).status == 200
 
@@ -149,7 +149,7 @@
 ) -> None:
     async def run() -> None:
         async with world(tmp_path) as w:
-            old, new, pool = w.backends[0], await Peer().start(), w.agent._backends.pool
+            old, new, pool = w.backends[0], await Peer().start(), w.agent.upstream.pool
             opened, let, to_open = asyncio.Event(), asyncio.Event(), pool.open
 
             async def late(there: object) -> object:
@@ -161,7 +161,7 @@
             monkeypatch.setattr(pool, "open", late)
             client = await w.ask(post(UNSAFE))
             await opened.wait()
-            w.agent._listed(listing(member("s0", new.port)))
+            w.agent.on_endpoint_list(listing(member("s0", new.port)))
             let.set()
             await (await new.requests.get()).answer()
             assert (await client.read()).status == 200
@@ -185,8 +185,8 @@
 
     def __init__(self, w: World, monkeypatch: pytest.MonkeyPatch, nth: int) -> None:
         self.up, self.let, self._left = asyncio.Event(), asyncio.Event(), nth
-        self._open = w.agent._backends.pool.open
-        monkeypatch.setattr(w.agent._backends.pool, "open", self._late)
+        self._open = w.agent.upstream.pool.open
+        monkeypatch.setattr(w.agent.upstream.pool, "open", self._late)
 
     async def _late(self, there: Any) -> PooledConnection:
         self._left -= 1
@@ -215,7 +215,7 @@
             late.let.set()
             assert (await client.read()).status == 503  # at once, though half of its time is left
             assert w.nothing_sent()
-            assert not w.agent._out
+            assert w.agent.exchanges_in_flight == ()
             assert w.agent._balancer.out == 0
 
     asyncio.run(run())
@@ -230,14 +230,14 @@
             for _ in range(3):  # a typical latency is known
                 await idle(w)
             for name in ("s0", "s1"):
-                w.agent._backends.pool.close_idle(name)
+                w.agent.upstream.pool.close_idle(name)
             late = Late(w, monkeypatch, nth=1)
             client = await w.ask(post(Request_Id="9b31"))
             await late.up.wait()
             copy = await w.request()
             clock.us += WINDOW_US
             late.let.set()
-            while len(w.agent._out) > 1:
+            while len(w.agent.exchanges_in_flight) > 1:
                 await asyncio.sleep(0)
             await copy.answer()
             assert (await client.read()).status == 200
@@ -257,7 +257,7 @@
             client = await w.ask(post())
             await late.up.wait()
             other = member("s0", w.backends[0].port) | {where: {"locality": "b", "cell": 2}[where]}
-            w.agent._listed(
+            w.agent.on_endpoint_list(
                 EndpointListParser(Clock(), ("a", "b"), ("m",)).parse(
                     {"revision": 42, "complete": False, "members": [other]}
                 )
@@ -288,7 +288,7 @@
     async def run() -> None:
         async with world(tmp_path) as w:
             got = await idle(w)
-            (kept,) = w.agent._backends.pool.open_connections
+            (kept,) = w.agent.upstream.pool.open_connections
             client = await w.client()
             got.peer.writer.write(late)
             readable(kept)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -139,7 +139,7 @@
         async with world(tmp_path) as w:
             sent = await w.ask(post(UNSAFE))
             await w.request()
-            w.agent._listed(listing())
+            w.agent.on_endpoint_list(listing())
             held = await w.ask(post(UNSAFE, Request_Id="9b20"))
             await taken(w, 2)
             stop = asyncio.create_task(w.server.shut_down(ShutdownTimes(0.0, 0.0, 0.05)))
