--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,26 +1,56 @@
-"""Scripted peers on loopback, and an agent between them. The system picks the ports; tests wait on events."""
+"""Scripted peers on loopback, and an agent between them. The system picks the ports; tests wait on events.
+
+Some failures need an order of steps that the event loop does not give by itself: bytes that are in the
+kernel and not read yet, a connection that is established late, a timer that fires first. The helpers for
+these are at the end of this module.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+import functools
 import json
+import select
 import socket
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass, field, replace
 from pathlib import Path
-from typing import Any
+from typing import Any, ParamSpec
+
+import pytest
 
 from nickelmount.agent.agent import Agent
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.config import Config, load
-from nickelmount.agent.discovery import Address
+from nickelmount.agent.connection import Connection
+from nickelmount.agent.connection_pool import ConnectionPool, PooledConnection
+from nickelmount.agent.discovery import Address, EndpointList, EndpointListParser, ListedEndpoint
 from nickelmount.agent.downstream import ClientTimeouts
 from nickelmount.agent.lifecycle import assemble
 from nickelmount.agent.listener import Listener
+from nickelmount.balancer.balancer import Balancer
+from nickelmount.balancer.events import TimerFired
 
-KEYED, UNSAFE = "registro-servicio", "vale-almacen"
+KEYED, UNSAFE = "registro-servicio", "vale-almacen"  # classes: repeats are dropped by key; must not run twice
 LOAD = b"inflight=0,queue=0,util=0.1"
+TEST_TIMEOUT_S = 60  # a hang fails the test; nothing is timed by this
+
+P = ParamSpec("P")
+
+
+def async_test(test: Callable[P, Awaitable[None]]) -> Callable[P, None]:
+    """Run a test that is a coroutine function on an event loop of its own."""
+
+    @functools.wraps(test)
+    def run_test(*args: P.args, **kwargs: P.kwargs) -> None:
+        async def run() -> None:
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await test(*args, **kwargs)
+
+        asyncio.run(run())
+
+    return run_test
 
 
 def settings(**allowed: Any) -> dict[str, Any]:
@@ -86,6 +116,14 @@
     }
 
 
+def endpoint_list(
+    *members: dict[str, Any], complete: bool = False, zones: tuple[str, ...] = ("a",)
+) -> EndpointList:
+    """An endpoint list as the agent reads it."""
+    parser = EndpointListParser(Clock(), zones, ("m",))
+    return parser.parse({"revision": 42, "complete": complete, "members": list(members)})
+
+
 @dataclass
 class Message:
     """A request as a peer got it, or an answer as a client got it."""
@@ -110,7 +148,7 @@
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.over: asyncio.Event | None = None  # set at the end, where a peer reads from it
+        self.closed_by_other: asyncio.Event | None = None  # for a peer, whose requests are read as they come
 
     async def write(self, data: bytes) -> None:
         self.writer.write(data)
@@ -124,8 +162,8 @@
 
     async def ended(self) -> None:
         """Wait until the other side has closed or reset the connection."""
-        if self.over is not None:
-            await self.over.wait()
+        if self.closed_by_other is not None:
+            await self.closed_by_other.wait()
             return
         with contextlib.suppress(ConnectionError):
             while await self.reader.read(65536):
@@ -134,8 +172,8 @@
     def reset(self) -> None:
         self.writer.transport.abort()
 
-    def shut(self) -> None:
-        """Close it in the kernel now, without a turn of the loop."""
+    def shut_down_socket(self) -> None:
+        """Close it in the kernel now, without a cycle of the event loop."""
         self.writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
     def told_of_close(self) -> bool:
@@ -149,9 +187,10 @@
 
 
 class Peer:
-    """A server whose requests the test answers one by one, but for probes."""
+    """A server whose requests the test answers one by one; probes are answered at once."""
 
-    def __init__(self) -> None:
+    def __init__(self, answers_probes: bool = True) -> None:
+        self._answers_probes = answers_probes
         self.requests: asyncio.Queue[Message] = asyncio.Queue()
         self.connections = 0
 
@@ -163,16 +202,16 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         conversation = Conversation(reader, writer)
-        conversation.over = asyncio.Event()
+        conversation.closed_by_other = asyncio.Event()
         try:
             while True:
                 message = await conversation.read()
-                if message.first.startswith("GET /_load"):
+                if self._answers_probes and message.first.startswith("GET /_load"):
                     await message.answer(200, LOAD)
                 else:
                     self.requests.put_nowait(message)
         except (asyncio.IncompleteReadError, ConnectionError):
-            conversation.over.set()
+            conversation.closed_by_other.set()
         finally:
             writer.close()
 
@@ -180,6 +219,16 @@
         self.server.close()
 
 
+@contextlib.asynccontextmanager
+async def running_peer() -> AsyncIterator[Peer]:
+    """A peer that listens until the block ends."""
+    peer = await Peer().start()
+    try:
+        yield peer
+    finally:
+        await peer.stop()
+
+
 def post(
     cls: str = KEYED,
     body: bytes = b"job",
@@ -225,8 +274,13 @@
     port: int
     discovery: Peer
     backends: list[Peer]
+    clock: Clock
     clients: list[Conversation] = field(default_factory=list)
 
+    @property
+    def pool(self) -> ConnectionPool:
+        return self.agent.upstream.pool
+
     async def client(self) -> Conversation:
         client = Conversation(*await asyncio.open_connection("127.0.0.1", self.port))
         self.clients.append(client)
@@ -250,6 +304,43 @@
     def nothing_sent(self) -> bool:
         return all(b.requests.empty() for b in self.backends)
 
+    # What the balancer holds. Its attributes are named here only.
+
+    @property
+    def _balancer(self) -> Balancer:
+        return self.agent._balancer
+
+    @property
+    def balancer_in_flight_count(self) -> int:
+        """Attempts whose end the balancer still waits for."""
+        return self._balancer.out
+
+    @property
+    def balancer_request_count(self) -> int:
+        """Requests that have no final answer, as the balancer counts."""
+        return len(self._balancer.requests)
+
+    @property
+    def balancer_queued_count(self) -> int:
+        """Requests that the balancer holds back because no endpoint has capacity."""
+        return len(self._balancer.waiting)
+
+    def balancer_load_by_endpoint(self) -> list[float]:
+        """What the balancer counts against each endpoint: its attempts, and the penalties for bad ends."""
+        balancer = self._balancer
+        return [endpoint.own(balancer.now) for endpoint in balancer.servers.values()]
+
+    def set_typical_latency_us(self, latency_us: float) -> None:
+        """Make this the usual latency, from which the balancer derives the delay of a hedged request."""
+        self._balancer.table.typical = latency_us
+
+    def fire_next_balancer_timer(self) -> None:
+        """Fire the balancer's next timer now, ahead of whatever has not been read from sockets."""
+        balancer, now = self._balancer, self.clock.now
+        early_us = max(0, balancer.due[0][0] - now())
+        self.clock.now = lambda: now() + early_us  # type: ignore[method-assign]
+        self.agent._dispatch(TimerFired(balancer.armed))
+
 
 def load_config(folder: Path, doc: dict[str, Any], clock: Clock) -> Config:
     path = folder / "config.json"
@@ -276,9 +367,9 @@
     agent, server = assemble(config, clock, times, settle_time_us=0)
     agent.start(config.known_list)
     port = await server.listen(Address("127.0.0.1", 0))
-    w = World(agent, server, port, discovery, peers)
+    w = World(agent, server, port, discovery, peers, clock)
     try:
-        async with asyncio.timeout(60):  # a hang fails the test; nothing is timed by this
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             yield w
     finally:
         for client in w.clients:
@@ -286,3 +377,70 @@
         server.close()
         for peer in [discovery, *peers]:
             await peer.stop()
+
+
+# An order of steps that a test forces
+
+
+def wait_until_kernel_has(connection: Connection, events: int) -> None:
+    """Wait, without a cycle of the event loop, until poll reports one of these events on the socket."""
+    assert connection.transport is not None
+    poll = select.poll()
+    poll.register(connection.transport.get_extra_info("socket").fileno(), events)
+    assert poll.poll(10_000)
+
+
+def wait_until_readable(connection: Connection) -> None:
+    """Wait, without a cycle of the event loop, until bytes or a close are there to be read."""
+    wait_until_kernel_has(connection, select.POLLIN)
+
+
+async def wait_for_accepted(setup: World, count: int) -> None:
+    """Wait until the agent has accepted so many requests."""
+    while setup.agent.accepted_count < count:
+        await asyncio.sleep(0)
+
+
+class DelayedConnect:
+    """The nth connection that is opened from now on is established, and handed over only by `hand_over`."""
+
+    def __init__(self, setup: World, monkeypatch: pytest.MonkeyPatch, nth: int = 1) -> None:
+        self.established = asyncio.Event()
+        self._may_hand_over = asyncio.Event()
+        self._opens_before = nth
+        self._open = setup.pool.open
+        monkeypatch.setattr(setup.pool, "open", self._open_delayed)
+
+    def hand_over(self) -> None:
+        """Let the exchange that opened the connection run next, ahead of whoever reads from sockets."""
+        self._may_hand_over.set()
+
+    async def _open_delayed(self, listed: ListedEndpoint) -> PooledConnection:
+        self._opens_before -= 1
+        is_delayed = self._opens_before == 0
+        connection = await self._open(listed)
+        if is_delayed:
+            self.established.set()
+            await self._may_hand_over.wait()
+        return connection
+
+
+class BlockingClient:
+    """A client whose bytes and whose close reach the agent's kernel without a cycle of the event loop."""
+
+    def __init__(self, setup: World) -> None:
+        self._known = set(setup.server.connections)
+        self._setup = setup
+        self.socket = socket.create_connection(("127.0.0.1", setup.port))
+
+    async def accepted(self) -> BlockingClient:
+        """Wait until the agent has accepted the connection."""
+        while not (new := self._setup.server.connections - self._known):
+            await asyncio.sleep(0)
+        (self._agent_side,) = new
+        return self
+
+    def leave(self, how: Callable[[socket.socket], None]) -> None:
+        """Disconnect; returns once the agent's kernel knows, before the agent has read it."""
+        how(self.socket)
+        wait_until_kernel_has(self._agent_side, select.POLLRDHUP)
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -188,7 +188,7 @@
 
 
 def broken(first: Message) -> None:
-    first.peer.shut()
+    first.peer.shut_down_socket()
 
 
 @LEAVING
@@ -309,12 +309,12 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         conversation = Conversation(reader, writer)
-        conversation.over = asyncio.Event()
+        conversation.closed_by_other = asyncio.Event()
         try:
             while True:
                 self.requests.put_nowait(await conversation.read())
         except (asyncio.IncompleteReadError, ConnectionError):
-            conversation.over.set()
+            conversation.closed_by_other.set()
         finally:
             writer.close()
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -135,7 +135,7 @@
             first = await w.request()
             await first.peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: none\r\n\r\n")  # may be tried again
             second = await w.request()
-            assert first.peer.over is not None
+            assert first.peer.closed_by_other is not None
             await first.peer.ended()
             assert len(w.agent.exchanges_in_flight) == 1
             await second.answer()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""How an exchange with a backend ends, by the protocol's table, and which connections are used again."""
+"""How an exchange with an endpoint ends, and which connections are used again."""
 
 from __future__ import annotations
 
@@ -13,371 +13,469 @@
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.connection import Connection
 from nickelmount.agent.connection_pool import ConnectionPool
-from nickelmount.agent.discovery import EndpointList, EndpointListParser
 from nickelmount.agent.upstream import Upstream
-from nickelmount.agent.upstream_exchange import ExchangeResult, UpstreamRequest
+from nickelmount.agent.upstream_exchange import Exchange, ExchangeResult, UpstreamRequest
 from nickelmount.balancer.events import Outcome
 from nickelmount.protocol.load_report import parse_load_report
-from tests.loopback import Message, Peer, member
+from tests.loopback import Message, Peer, async_test, endpoint_list, member, running_peer
 
-FIELDS = ("inflight", "queue", "util")
-ASK = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"job")
-CLOCK = Clock()
+LOAD_REPORT_FIELDS = ("inflight", "queue", "util")
+LONG_US = 60_000_000  # no limit that a test reaches
+REQUEST = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"job")
+OK = b"HTTP/1.1 200 OK\r\n"
 
 
-def listing(port: int, phase: str = "SERVING", up: int = 0) -> EndpointList:
-    parser = EndpointListParser(CLOCK, ("a",), ("m",))
-    return parser.parse({"revision": 1, "complete": False, "members": [member("s", port, phase, up)]})
+class SteppedClock(Clock):
+    """A clock that the test moves."""
 
+    now_us = 1_000_000
 
-def backends(
-    port: int, idle_us: int = 60_000_000, connect_us: int = 10_000_000, most: int = 9, settle_time_us: int = 0
-) -> Upstream:
-    made = Upstream(CLOCK, FIELDS, ConnectionPool(CLOCK, connect_us, idle_us, most, settle_time_us))
-    made.apply(listing(port))
-    return made
+    def now(self) -> int:
+        return self.now_us
 
 
-def begin(
-    b: Upstream, ask: UpstreamRequest = ASK, timeout_us: int = 60_000_000
+def upstream_of(
+    port: int,
+    idle_timeout_us: int = LONG_US,
+    connect_timeout_us: int = 10_000_000,
+    max_connections: int = 9,
+    settle_time_us: int = 0,
+    clock: Clock | None = None,
+) -> Upstream:
+    """An Upstream that knows one endpoint, "s", on a port of this machine."""
+    clock = clock or Clock()
+    pool = ConnectionPool(clock, connect_timeout_us, idle_timeout_us, max_connections, settle_time_us)
+    upstream = Upstream(clock, LOAD_REPORT_FIELDS, pool)
+    upstream.apply(endpoint_list(member("s", port)))
+    return upstream
+
+
+def start_exchange(
+    upstream: Upstream,
+    request: UpstreamRequest = REQUEST,
+    timeout_us: int = LONG_US,
+    endpoint_id: str = "s",
+) -> tuple[Exchange, asyncio.Future[ExchangeResult]]:
+    result: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
+    # A future raises if it is set twice, so this also asserts that an exchange ends once.
+    return upstream.start_attempt(endpoint_id, request, timeout_us, result.set_result), result
+
+
+def start(
+    upstream: Upstream,
+    request: UpstreamRequest = REQUEST,
+    timeout_us: int = LONG_US,
+    endpoint_id: str = "s",
 ) -> asyncio.Future[ExchangeResult]:
-    end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
-    b.start_attempt("s", ask, timeout_us, end.set_result)
-    return end
+    return start_exchange(upstream, request, timeout_us, endpoint_id)[1]
+
+
+async def serve_one(upstream: Upstream, peer: Peer) -> Message:
+    """One exchange that succeeds; its connection may be reused."""
+    result = start(upstream)
+    message = await peer.requests.get()
+    await message.answer()
+    assert (await result).outcome is Outcome.OK
+    return message
 
 
-async def cut_short(m: Message) -> None:
-    await m.peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
-    m.peer.close()
+# Outcomes once the request is written
 
 
-async def reset(m: Message) -> None:
-    m.peer.reset()
+async def truncate_response(message: Message) -> None:
+    await message.peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
+    message.peer.close()
 
 
-async def close(m: Message) -> None:
-    m.peer.close()
+async def reset(message: Message) -> None:
+    message.peer.reset()
 
 
-OK = b"HTTP/1.1 200 OK\r\n"
+async def close(message: Message) -> None:
+    message.peer.close()
 
 
-def spoilt(data: bytes) -> Callable[[Message], Awaitable[None]]:
-    """The connection stays open behind it."""
-    return lambda m: m.peer.write(data)
+def write_raw(data: bytes) -> Callable[[Message], Awaitable[None]]:
+    """The connection stays open after these bytes."""
+    return lambda message: message.peer.write(data)
 
 
-def answers(status: int, **headers: str) -> Callable[[Message], Awaitable[None]]:
-    return lambda m: m.answer(status, b"", **headers)
+def respond(status: int, **headers: str) -> Callable[[Message], Awaitable[None]]:
+    return lambda message: message.answer(status, b"", **headers)
 
 
 @pytest.mark.parametrize(
-    ("then", "outcome"),
+    ("endpoint_does", "outcome"),
     [
-        (answers(200), Outcome.OK),
-        (answers(500), Outcome.ERROR),
-        (answers(503), Outcome.ERROR),
-        (answers(400), Outcome.ERROR),
-        (answers(500, Not_Started="1"), Outcome.ERROR),
-        (answers(503, Not_Started="0"), Outcome.ERROR),
-        (answers(503, Not_Started="1"), Outcome.REJECTED),
-        (answers(504, Not_Started="1"), Outcome.REJECTED),
-        (cut_short, Outcome.RESET),
+        (respond(200), Outcome.OK),
+        (respond(500), Outcome.ERROR),
+        (respond(503), Outcome.ERROR),
+        (respond(400), Outcome.ERROR),
+        (respond(500, Not_Started="1"), Outcome.ERROR),
+        (respond(503, Not_Started="0"), Outcome.ERROR),
+        (respond(503, Not_Started="1"), Outcome.REJECTED),
+        (respond(504, Not_Started="1"), Outcome.REJECTED),
+        (truncate_response, Outcome.RESET),
         (reset, Outcome.RESET),
         (close, Outcome.RESET),
-        (spoilt(b"what?\r\n\r\n"), Outcome.ERROR),
-        (spoilt(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000), Outcome.ERROR),
-        (spoilt(OK + b"Content-Length: 3000000000\r\n\r\nx"), Outcome.ERROR),
-        (spoilt(OK + b"Content-Length: -4\r\n\r\ndone"), Outcome.ERROR),
-        (spoilt(OK + b"Content-Length: 4\r\nContent-Length: 5\r\n\r\ndone"), Outcome.ERROR),
-        (spoilt(OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), Outcome.ERROR),
-        (spoilt(OK + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n"), Outcome.ERROR),
-        (spoilt(OK + b"Transfer-Encoding: chunked\r\n\r\n111700\r\n" + b"x" * 1_100_000), Outcome.ERROR),
-        (spoilt(OK + b"\r\nendless"), Outcome.ERROR),
-        (spoilt(b"HTTP/1.1 100 Continue\r\n\r\n" * 99), Outcome.ERROR),
-        (spoilt(b"HTTP/1.1 101 Switching Protocols\r\n\r\n"), Outcome.ERROR),
-        (spoilt(b"HTTP/1.1 102 Wait\r\n\r\n" + OK + b"Content-Length: 0\r\n\r\n"), Outcome.OK),
+        (write_raw(b"what?\r\n\r\n"), Outcome.ERROR),
+        (write_raw(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000), Outcome.ERROR),
+        (write_raw(OK + b"Content-Length: 3000000000\r\n\r\nx"), Outcome.ERROR),
+        (write_raw(OK + b"Content-Length: -4\r\n\r\ndone"), Outcome.ERROR),
+        (write_raw(OK + b"Content-Length: 4\r\nContent-Length: 5\r\n\r\ndone"), Outcome.ERROR),
+        (write_raw(OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), Outcome.ERROR),
+        (write_raw(OK + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n"), Outcome.ERROR),
+        (
+            write_raw(OK + b"Transfer-Encoding: chunked\r\n\r\n111700\r\n" + b"x" * 1_100_000),
+            Outcome.ERROR,
+        ),
+        (write_raw(OK + b"\r\nendless"), Outcome.ERROR),
+        (write_raw(b"HTTP/1.1 100 Continue\r\n\r\n" * 99), Outcome.ERROR),
+        (write_raw(b"HTTP/1.1 101 Switching Protocols\r\n\r\n"), Outcome.ERROR),
+        (write_raw(b"HTTP/1.1 102 Wait\r\n\r\n" + OK + b"Content-Length: 0\r\n\r\n"), Outcome.OK),
+    ],
+)
+@async_test
+async def test_outcome_after_the_last_byte_is_written(
+    endpoint_does: Callable[[Message], Awaitable[None]], outcome: Outcome
+) -> None:
+    async with running_peer() as peer:
+        result = start(upstream_of(peer.port))
+        await endpoint_does(await peer.requests.get())
+        assert (await result).outcome is outcome
+
+
+@async_test
+async def test_a_response_of_400_kb_is_served_complete() -> None:
+    """Responses above 64 KiB were once treated as unusable, and their requests were rejected."""
+    async with running_peer() as peer:
+        result_future = start(upstream_of(peer.port))
+        body = bytes(range(256)) * 1600
+        await (await peer.requests.get()).answer(200, body)
+        result = await result_future
+        assert result.outcome is Outcome.OK
+        assert result.body == body
+
+
+@pytest.mark.parametrize(
+    "response_start",
+    [
+        b"Transfer-Encoding: chunked\r\n\r\n0\r\nX-Trailer: ",
+        b"Transfer-Encoding: chunked\r\n\r\n5;extension=",
+        b"X-Header: ",
+        b"Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\nX-Trailer: ",
+        b"Content-Length: 900000000\r\n\r\n",
+        b"Transfer-Encoding: chunked\r\n\r\n35a4e900\r\n",
     ],
 )
-def test_outcomes_after_the_last_byte(then: Callable[[Message], Awaitable[None]], outcome: Outcome) -> None:
-    async def run() -> None:
-        peer = await Peer().start()
-        end = begin(backends(peer.port))
-        await then(await peer.requests.get())
-        assert (await end).outcome is outcome
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-def test_refused_is_a_failed_connect() -> None:
-    async def run() -> None:
-        with socket.socket() as s:  # bound and not listening: every connection is refused
-            s.bind(("127.0.0.1", 0))
-            assert (await begin(backends(s.getsockname()[1]))).outcome is Outcome.CONNECT_FAILED
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-@pytest.mark.parametrize(("connect_us", "timeout_us"), [(30_000, 60_000_000), (60_000_000, 30_000)])
-def test_a_connection_that_never_comes_up_is_a_failed_connect(connect_us: int, timeout_us: int) -> None:
-    async def run() -> None:
-        with socket.socket() as full:
-            full.bind(("127.0.0.1", 0))
-            full.listen(0)
-            waiting = [socket.socket() for _ in range(8)]
-            for s in waiting:  # its queue is filled, and no one accepts: the next one hangs
-                s.setblocking(False)
-                s.connect_ex(full.getsockname())
-            end = begin(backends(full.getsockname()[1], connect_us=connect_us), timeout_us=timeout_us)
-            assert (await end).outcome is Outcome.CONNECT_FAILED
-            for s in waiting:
-                s.close()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-def test_broken_before_the_last_byte_is_written_never_ran() -> None:
-    async def run() -> None:
-        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readexactly(10)
-            writer.transport.abort()
-
-        server = await asyncio.start_server(serve, "127.0.0.1", 0, limit=1024)
+@async_test
+async def test_an_endless_response_is_given_up_within_a_bound(response_start: bytes) -> None:
+    """An endpoint begins a response and never ends it: a header, a trailer, a chunk or a body goes on.
+
+    Unbounded, the agent would hold all of it in memory. The exchange ends as an error, and the connection is
+    closed and not reused.
+    """
+    async with asyncio.timeout(20), running_peer() as peer:
+        upstream = upstream_of(peer.port)
+        result = start(upstream)
+        message = await peer.requests.get()
+        await message.peer.write(OK + response_start)
+        sent_bytes = 0
+        with contextlib.suppress(ConnectionError):
+            while not result.done() and sent_bytes < 16_000_000:
+                await message.peer.write(b"x" * 65536)
+                sent_bytes += 65536
+        assert (await result).outcome is Outcome.ERROR
+        assert sent_bytes < 8_000_000
+        await message.peer.ended()
+        await serve_one(upstream, peer)
+        assert peer.connections == 2
+
+
+@async_test
+async def test_a_timeout_closes_the_connection_before_it_is_reported() -> None:
+    """A request times out at one endpoint, and its next attempt goes to another.
+
+    Were the first connection closed only later, both endpoints would work on the request at once. When the
+    end is reported, the kernel of the first endpoint must know of the close.
+    """
+    async with running_peer() as peer:
+        upstream = upstream_of(peer.port)
+        result_future: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
+        messages: list[Message] = []
+        was_closed_at_end: list[bool] = []
+
+        def on_end(result: ExchangeResult) -> None:
+            was_closed_at_end.append(messages[0].peer.told_of_close())
+            result_future.set_result(result)
+
+        upstream.start_attempt("s", REQUEST, 1_000_000, on_end)
+        messages.append(await peer.requests.get())
+        assert (await result_future).outcome is Outcome.TIMEOUT
+        assert was_closed_at_end == [True]
+        await messages[0].peer.ended()
+
+
+# Outcomes before that
+
+
+@async_test
+async def test_a_refused_connection_is_a_failed_connect() -> None:
+    with socket.socket() as bound:  # bound and not listening: every connection is refused
+        bound.bind(("127.0.0.1", 0))
+        assert (await start(upstream_of(bound.getsockname()[1]))).outcome is Outcome.CONNECT_FAILED
+
+
+@pytest.mark.parametrize(("connect_timeout_us", "timeout_us"), [(30_000, 60_000_000), (60_000_000, 30_000)])
+@async_test
+async def test_a_connection_that_is_never_established_is_a_failed_connect(
+    connect_timeout_us: int, timeout_us: int
+) -> None:
+    """An endpoint no longer accepts and its queue is full: the connect hangs until one of the timeouts."""
+    with contextlib.ExitStack() as sockets:
+        listener = sockets.enter_context(socket.socket())
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
+        for _ in range(8):
+            queued = sockets.enter_context(socket.socket())
+            queued.setblocking(False)
+            queued.connect_ex(listener.getsockname())
+        upstream = upstream_of(listener.getsockname()[1], connect_timeout_us=connect_timeout_us)
+        result = start(upstream, timeout_us=timeout_us)
+        assert (await result).outcome is Outcome.CONNECT_FAILED
+
+
+@async_test
+async def test_a_connection_lost_before_the_last_byte_is_written_is_a_failed_connect() -> None:
+    """An endpoint resets the connection while the request is being written, so it surely has not begun."""
+
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readexactly(10)
+        writer.transport.abort()
+
+    async with await asyncio.start_server(serve, "127.0.0.1", 0, limit=1024) as server:
         port = server.sockets[0].getsockname()[1]
         # More than all buffers between the two can hold.
-        big = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"x" * 64 * 1024 * 1024)
-        assert (await begin(backends(port), big)).outcome is Outcome.CONNECT_FAILED
-        server.close()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-def test_what_is_not_written_whole_within_its_bound_is_never_written_whole() -> None:
-    async def run() -> None:
-        with socket.create_server(("127.0.0.1", 0)) as peer:
-            peer.setblocking(False)
-            there = backends(peer.getsockname()[1])
-            end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
-            large = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"x" * 50_000_000)
-            exchange = there.start_attempt("s", large, 60_000_000, end.set_result)
-            taken, _ = await asyncio.get_running_loop().sock_accept(peer)
-            with taken:
-                exchange.write_within(50_000)
-                exchange.write_within(60_000_000)  # a later bound does not lift the earlier one
-                assert (await end).outcome is Outcome.NOT_SENT
-                got = 0
-                with contextlib.suppress(ConnectionError):
-                    while data := await asyncio.get_running_loop().sock_recv(taken, 1 << 20):
-                        got += len(data)
-                assert got < 50_000_000
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-def test_a_bound_on_writing_does_not_end_what_is_written() -> None:
-    async def run() -> None:
-        peer = await Peer().start()
-        end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
-        exchange = backends(peer.port).start_attempt("s", ASK, 60_000_000, end.set_result)
-        got = await peer.requests.get()
+        request = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"x" * 64 * 1024 * 1024)
+        assert (await start(upstream_of(port), request)).outcome is Outcome.CONNECT_FAILED
+
+
+@async_test
+async def test_a_request_that_exceeds_its_write_limit_is_never_written_completely() -> None:
+    """An endpoint accepts and reads nothing, until the time is over in which it would drop a repeat.
+
+    The exchange ends as not sent. The endpoint must not get the rest of the request afterwards.
+    """
+    loop = asyncio.get_running_loop()
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        listener.setblocking(False)
+        request = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"x" * 50_000_000)
+        exchange, result = start_exchange(upstream_of(listener.getsockname()[1]), request)
+        accepted, _ = await loop.sock_accept(listener)
+        with accepted:
+            exchange.write_within(50_000)
+            exchange.write_within(60_000_000)  # a later limit does not lift the earlier one
+            assert (await result).outcome is Outcome.NOT_SENT
+            received_bytes = 0
+            with contextlib.suppress(ConnectionError):
+                while data := await loop.sock_recv(accepted, 1 << 20):
+                    received_bytes += len(data)
+            assert received_bytes < 50_000_000
+
+
+@async_test
+async def test_a_write_limit_does_not_end_what_is_written() -> None:
+    async with running_peer() as peer:
+        exchange, result = start_exchange(upstream_of(peer.port))
+        message = await peer.requests.get()
         exchange.write_within(1)
         await asyncio.sleep(0.02)
-        await got.answer()
-        assert (await end).outcome is Outcome.OK
-        await peer.stop()
+        await message.answer()
+        assert (await result).outcome is Outcome.OK
 
-    asyncio.run(asyncio.wait_for(run(), 60))
 
+@async_test
+async def test_nothing_is_sent_to_an_endpoint_that_drains_while_the_connection_is_established() -> None:
+    async with running_peer() as peer:
+        upstream = upstream_of(peer.port)
+        result = start(upstream)
+        upstream.apply(endpoint_list(member("s", peer.port, "DRAINING")))
+        assert (await result).outcome is Outcome.NOT_SENT
+        assert peer.requests.empty()
 
-def test_a_time_out_closes_the_connection_before_it_is_reported() -> None:
-    async def run() -> None:
-        peer = await Peer().start()
-        b = backends(peer.port)
-        end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
-        told: list[bool] = []
 
-        def done(result: ExchangeResult) -> None:
-            told.append(taken[0].peer.told_of_close())
-            end.set_result(result)
+@async_test
+async def test_running_out_of_descriptors_is_no_fault_of_the_endpoint(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """This machine has no descriptor left. Counted as failed connects, good endpoints would be ejected."""
 
-        taken: list[Message] = []
-        b.start_attempt("s", ASK, 1_000_000, done)
-        taken.append(await peer.requests.get())
-        assert (await end).outcome is Outcome.TIMEOUT
-        assert told == [True]
-        await taken[0].peer.ended()
-        await peer.stop()
+    async def fail_to_connect(*_: object) -> None:
+        raise OSError(errno.EMFILE, "too many open files")
 
-    asyncio.run(asyncio.wait_for(run(), 60))
+    async with running_peer() as peer:
+        upstream = upstream_of(peer.port)
+        monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", fail_to_connect)
+        assert (await start(upstream)).outcome is Outcome.NOT_SENT
 
 
-async def served(b: Upstream, peer: Peer) -> Message:
-    end = begin(b)
-    message = await peer.requests.get()
-    await message.answer()
-    assert (await end).outcome is Outcome.OK
-    return message
+@pytest.mark.parametrize("has_idle_connection", [False, True])
+@async_test
+async def test_a_fault_while_a_request_is_written_ends_its_exchange(
+    monkeypatch: pytest.MonkeyPatch, has_idle_connection: bool
+) -> None:
+    """Writing raises. An exchange without an end would leave its request without an answer."""
 
+    def send(self: Connection, data: bytes) -> None:
+        raise ValueError("no such header")
 
-def test_a_connection_that_the_backend_closed_is_not_written_to() -> None:
-    async def run() -> None:
-        peer = await Peer().start()
-        b = backends(peer.port)
-        message = await served(b, peer)
-        message.peer.shut()
-        # No turn of the loop between: the close is in the kernel, and has not been read.
-        await served(b, peer)
-        assert peer.connections == 2
-        await peer.stop()
+    async with running_peer() as peer:
+        upstream = upstream_of(peer.port)
+        if has_idle_connection:
+            await serve_one(upstream, peer)
+        monkeypatch.setattr(Connection, "send", send)
+        # It is not known then whether the request has run.
+        assert (await start(upstream)).outcome is Outcome.RESET
 
-    asyncio.run(asyncio.wait_for(run(), 60))
 
+# Which connections are reused
 
-@pytest.mark.parametrize("warm", [False, True])
-def test_a_fault_while_an_attempt_is_written_ends_it(monkeypatch: pytest.MonkeyPatch, warm: bool) -> None:
-    def send(self: Connection, data: bytes) -> None:
-        raise ValueError("no such header")
 
-    async def run() -> None:
-        peer = await Peer().start()
-        b = backends(peer.port)
-        if warm:
-            await served(b, peer)
-        monkeypatch.setattr(Connection, "send", send)
-        # Whether it ran is not known then.
-        assert (await begin(b)).outcome is Outcome.RESET
-        await peer.stop()
+@async_test
+async def test_a_connection_that_the_endpoint_has_closed_is_not_reused() -> None:
+    """The endpoint closes an idle connection, and the next request comes before the agent has read that.
+
+    Sent on this connection, the request would be lost, and it would not be known whether it has run.
+    """
+    async with running_peer() as peer:
+        upstream = upstream_of(peer.port)
+        message = await serve_one(upstream, peer)
+        message.peer.shut_down_socket()
+        # No cycle of the event loop in between: the close is in the kernel, and has not been read.
+        await serve_one(upstream, peer)
+        assert peer.connections == 2
 
-    asyncio.run(asyncio.wait_for(run(), 60))
 
+@pytest.mark.parametrize("excess", [OK + b"Content-Length: 5\r\n\r\nother", b"noise"])
+@pytest.mark.parametrize("is_separate", [False, True])
+@async_test
+async def test_bytes_that_follow_a_response_are_no_response_to_the_next_request(
+    excess: bytes, is_separate: bool
+) -> None:
+    """An endpoint sends more than its response, at once or while the connection is idle.
 
-@pytest.mark.parametrize("tail", [OK + b"Content-Length: 5\r\n\r\nother", b"noise"])
-@pytest.mark.parametrize("apart", [False, True])
-def test_what_comes_behind_an_answer_is_no_answer_to_the_next_request(tail: bytes, apart: bool) -> None:
-    async def run() -> None:
-        peer = await Peer().start()
-        b = backends(peer.port)
-        end = begin(b)
+    Were the connection reused, the next request would be answered with those bytes.
+    """
+    async with running_peer() as peer:
+        upstream = upstream_of(peer.port)
+        result = start(upstream)
         message = await peer.requests.get()
-        first = OK + b"Content-Length: 4\r\n\r\ndone"
-        await message.peer.write(first if apart else first + tail)
-        assert (await end).body == b"done"
-        if apart:  # and on the connection that is kept by now
-            await message.peer.write(tail)
+        response = OK + b"Content-Length: 4\r\n\r\ndone"
+        await message.peer.write(response if is_separate else response + excess)
+        assert (await result).body == b"done"
+        if is_separate:  # the connection is idle by now
+            await message.peer.write(excess)
         await message.peer.ended()
-        end = begin(b)
+        result = start(upstream)
         await (await peer.requests.get()).answer(200, b"mine")
-        assert (await end).body == b"mine"
+        assert (await result).body == b"mine"
         assert peer.connections == 2
-        await peer.stop()
 
-    asyncio.run(asyncio.wait_for(run(), 60))
 
+@async_test
+async def test_a_connection_is_not_reused_before_it_has_settled() -> None:
+    """A duplicate of a response is still on its way when the next request arrives.
 
-def test_a_connection_rests_before_it_is_used_again() -> None:
-    # A copy of the answer still on its way would be read as the answer to the next request.
-    async def run() -> None:
-        peer = await Peer().start()
-        b = backends(peer.port, settle_time_us=60_000_000)
-        first = await served(b, peer)
-        end = begin(b)
+    On the same connection, the duplicate would be read as the response to that request.
+    """
+    async with running_peer() as peer:
+        upstream = upstream_of(peer.port, settle_time_us=60_000_000)
+        first = await serve_one(upstream, peer)
+        result = start(upstream)
         message = await peer.requests.get()
         await first.peer.write(OK + b"Content-Length: 4\r\n\r\ncopy")
         await first.peer.ended()
         await message.answer(200, b"mine")
-        assert (await end).body == b"mine"
+        assert (await result).body == b"mine"
         assert peer.connections == 2
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_connections_under_way_count_against_the_limit() -> None:
-    async def run() -> None:
-        peer = await Peer().start()
-        b = backends(peer.port, most=1)
-        ends = [begin(b) for _ in range(3)]
-        assert [(await end).outcome for end in ends[1:]] == [Outcome.NOT_SENT] * 2
-        await (await peer.requests.get()).answer()
-        assert (await ends[0]).outcome is Outcome.OK
-        assert peer.connections == 1
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
+@async_test
+async def test_a_duplicate_response_some_milliseconds_late_reaches_no_other_request() -> None:
+    """A duplicate arrives 6 ms after its response, and the next request before it.
 
-def test_running_out_of_descriptors_is_no_fault_of_the_backend(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def run() -> None:
-        peer = await Peer().start()
-        b = backends(peer.port)
-
-        async def none_left(*_: object) -> None:
-            raise OSError(errno.EMFILE, "too many open files")
+    The time for which the agent lets a connection settle by default is longer than that. Once it is over, the
+    connection of the second request is reused.
+    """
+    async with asyncio.timeout(20), running_peer() as peer:
+        clock = SteppedClock()
+        pool = ConnectionPool(clock, 10_000_000, 60_000_000, 9)
+        upstream = Upstream(clock, LOAD_REPORT_FIELDS, pool)
+        upstream.apply(endpoint_list(member("s", peer.port)))
+        first = await serve_one(upstream, peer)
+        clock.now_us += 6_000
+        result = start(upstream)
+        message = await peer.requests.get()
+        await first.peer.write(OK + b"Content-Length: 4\r\n\r\ncopy")
+        await first.peer.ended()
+        await message.answer(200, b"mine")
+        assert (await result).body == b"mine"
+        assert peer.connections == 2
+        clock.now_us += 40_000
+        await serve_one(upstream, peer)
+        assert peer.connections == 2
 
-        monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", none_left)
-        assert (await begin(b)).outcome is Outcome.NOT_SENT
-        await peer.stop()
 
-    asyncio.run(asyncio.wait_for(run(), 60))
+@async_test
+async def test_an_idle_connection_is_closed_before_the_endpoint_does_it() -> None:
+    async with running_peer() as peer:
+        upstream = upstream_of(peer.port, idle_timeout_us=50_000)
+        message = await serve_one(upstream, peer)
+        await message.peer.ended()
 
 
-def test_idle_connections_are_retired_before_the_backend_does() -> None:
-    async def run() -> None:
-        peer = await Peer().start()
-        b = backends(peer.port, idle_us=50_000)
-        message = await served(b, peer)
+@pytest.mark.parametrize(
+    ("phase", "up_since_ms"), [("DRAINING", 0), ("DELETED", 0), ("SERVING", 1_700_000_000_000)]
+)
+@async_test
+async def test_an_endpoint_that_drains_or_is_removed_or_restarts_loses_its_idle_connections(
+    phase: str, up_since_ms: int
+) -> None:
+    async with running_peer() as peer:
+        upstream = upstream_of(peer.port)
+        message = await serve_one(upstream, peer)
+        upstream.apply(endpoint_list(member("s", peer.port, phase, up_since_ms)))
         await message.peer.ended()
-        await peer.stop()
 
-    asyncio.run(asyncio.wait_for(run(), 60))
 
+# The limit on connections
 
-@pytest.mark.parametrize(("phase", "up"), [("DRAINING", 0), ("DELETED", 0), ("SERVING", 1_700_000_000_000)])
-def test_a_backend_that_drains_goes_or_restarts_loses_its_idle_connections(phase: str, up: int) -> None:
-    async def run() -> None:
-        peer = await Peer().start()
-        b = backends(peer.port)
-        message = await served(b, peer)
-        b.apply(listing(peer.port, phase, up))
-        await message.peer.ended()
-        await peer.stop()
 
-    asyncio.run(asyncio.wait_for(run(), 60))
+@async_test
+async def test_connections_that_are_being_opened_count_against_the_limit() -> None:
+    """Many requests arrive at once: were only established connections counted, all would open one."""
+    async with running_peer() as peer:
+        upstream = upstream_of(peer.port, max_connections=1)
+        results = [start(upstream) for _ in range(3)]
+        assert [(await result).outcome for result in results[1:]] == [Outcome.NOT_SENT] * 2
+        await (await peer.requests.get()).answer()
+        assert (await results[0]).outcome is Outcome.OK
+        assert peer.connections == 1
 
 
-def test_nothing_goes_to_a_backend_that_drains_while_the_connection_comes_up() -> None:
-    async def run() -> None:
-        peer = await Peer().start()
-        b = backends(peer.port)
-        end = begin(b)
-        b.apply(listing(peer.port, "DRAINING"))
-        assert (await end).outcome is Outcome.NOT_SENT
-        assert peer.requests.empty()
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-def test_the_longest_idle_connection_makes_way() -> None:
-    async def run() -> None:
-        peer, other = await Peer().start(), await Peer().start()
-        b = backends(peer.port, most=1)
-        message = await served(b, peer)
-        b.apply(
-            EndpointListParser(CLOCK, (), ()).parse(
-                {"revision": 2, "complete": False, "members": [member("t", other.port)]}
-            )
-        )
-        end: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
-        b.start_attempt("t", ASK, 60_000_000, end.set_result)
+@async_test
+async def test_the_connection_idle_for_longest_is_closed_for_a_new_one() -> None:
+    async with running_peer() as peer, running_peer() as other:
+        upstream = upstream_of(peer.port, max_connections=1)
+        message = await serve_one(upstream, peer)
+        upstream.apply(endpoint_list(member("t", other.port)))
+        result = start(upstream, endpoint_id="t")
         await message.peer.ended()
         await (await other.requests.get()).answer()
-        assert (await end).outcome is Outcome.OK
-        await peer.stop()
-        await other.stop()
+        assert (await result).outcome is Outcome.OK
+
 
-    asyncio.run(asyncio.wait_for(run(), 60))
+# Load reports
 
 
 @pytest.mark.parametrize(
@@ -395,99 +493,14 @@
         ("x", ()),
     ],
 )
-def test_a_bad_report_is_no_report(text: str | None, report: tuple[float, ...]) -> None:
-    assert parse_load_report(text, FIELDS) == report
-
-
-def test_an_answer_of_400_kb_is_served_whole() -> None:
-    # rate: answers over 64 KiB were taken for spoilt, and a third of all requests was turned away.
-    async def run() -> None:
-        peer = await Peer().start()
-        end = begin(backends(peer.port))
-        body = bytes(range(256)) * 1600
-        await (await peer.requests.get()).answer(200, body)
-        result = await end
-        assert result.outcome is Outcome.OK
-        assert result.body == body
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-def test_reports_come_with_any_answer() -> None:
-    async def run() -> None:
-        peer = await Peer().start()
-        end = begin(backends(peer.port))
-        message: Message = await peer.requests.get()
-        await message.answer(500, b"", Server_Load="inflight=7,queue=2,util=0.61")
-        assert (await end).load_report == (7.0, 2.0, 0.61)
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-@pytest.mark.parametrize(
-    "begun",
-    [
-        b"Transfer-Encoding: chunked\r\n\r\n0\r\nX-Trailer: ",
-        b"Transfer-Encoding: chunked\r\n\r\n5;extension=",
-        b"X-Header: ",
-        b"Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\nX-Trailer: ",
-        b"Content-Length: 900000000\r\n\r\n",
-        b"Transfer-Encoding: chunked\r\n\r\n35a4e900\r\n",
-    ],
-)
-def test_an_answer_that_never_ends_is_given_up_within_a_bound(begun: bytes) -> None:
-    async def run() -> None:
-        peer = await Peer().start()
-        b = backends(peer.port)
-        end = begin(b)
-        message = await peer.requests.get()
-        await message.peer.write(OK + begun)
-        sent = 0
-        with contextlib.suppress(ConnectionError):
-            while not end.done() and sent < 16_000_000:
-                await message.peer.write(b"x" * 65536)
-                sent += 65536
-        assert (await end).outcome is Outcome.ERROR
-        assert sent < 8_000_000
-        await message.peer.ended()
-        await served(b, peer)
-        assert peer.connections == 2
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 20))
+def test_a_malformed_load_report_is_no_load_report(text: str | None, report: tuple[float, ...]) -> None:
+    assert parse_load_report(text, LOAD_REPORT_FIELDS) == report
 
 
-def test_a_second_answer_that_comes_some_milliseconds_late_reaches_no_other_request() -> None:
-    clock = Stepped()
-
-    async def run() -> None:
-        peer = await Peer().start()
-        pool = ConnectionPool(clock, 10_000_000, 60_000_000, 9)
-        b = Upstream(clock, FIELDS, pool)
-        b.apply(listing(peer.port))
-        first = await served(b, peer)
-        clock.us += 6_000  # so late is the copy, and the next request comes ahead of it
-        end = begin(b)
+@async_test
+async def test_load_reports_come_with_any_response() -> None:
+    async with running_peer() as peer:
+        result = start(upstream_of(peer.port))
         message = await peer.requests.get()
-        await first.peer.write(OK + b"Content-Length: 4\r\n\r\ncopy")
-        await first.peer.ended()
-        await message.answer(200, b"mine")
-        assert (await end).body == b"mine"
-        assert peer.connections == 2
-        clock.us += 40_000
-        await served(b, peer)
-        assert peer.connections == 2  # rested, it is used again
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 20))
-
-
-class Stepped(Clock):
-    """A clock that the test moves."""
-
-    us = 1_000_000
-
-    def now(self) -> int:
-        return self.us
+        await message.answer(500, b"", Server_Load="inflight=7,queue=2,util=0.61")
+        assert (await result).load_report == (7.0, 2.0, 0.61)
