--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -124,6 +124,11 @@
     return parser.parse({"revision": 42, "complete": complete, "members": list(members)})
 
 
+def complete_list(*peers: Peer) -> EndpointList:
+    """A complete endpoint list that names the peers as s0, s1 ...; without peers, an empty one."""
+    return endpoint_list(*(member(f"s{i}", peer.port) for i, peer in enumerate(peers)), complete=True)
+
+
 @dataclass
 class Message:
     """A request as a peer got it, or an answer as a client got it."""
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,9 +1,12 @@
-"""A client that leaves while its request waits: nothing is sent on for it, and nothing of it is counted."""
+"""A client disconnects while its request waits: nothing is sent for it, and the balancer forgets it.
+
+A request may wait for an endpoint, for its next attempt, for a connection or for a probe. In each test the
+close is in the agent's kernel before the wait ends, and has not been read by the event loop.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import select
 import socket
 import struct
 from collections.abc import AsyncIterator, Callable
@@ -12,345 +15,301 @@
 
 import pytest
 
-from nickelmount.agent.clock import Clock
-from nickelmount.agent.discovery import EndpointList, EndpointListParser
 from nickelmount.agent.downstream import ClientConnection
-from nickelmount.balancer.events import TimerFired
-from tests.loopback import KEYED, LOAD, UNSAFE, Conversation, Message, Peer, World, member, post, world
-
-
-def by_fin(s: socket.socket) -> None:
-    s.close()
-
+from tests.loopback import (
+    KEYED,
+    LOAD,
+    UNSAFE,
+    BlockingClient,
+    DelayedConnect,
+    Message,
+    Peer,
+    World,
+    async_test,
+    complete_list,
+    post,
+    wait_for_accepted,
+    world,
+)
 
-def by_reset(s: socket.socket) -> None:
-    s.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    s.close()
+Disconnect = Callable[[socket.socket], None]
+TIME_TO_ARRIVE_S = 0.3  # within this, a request that is sent nevertheless has arrived
 
 
-def by_fin_behind_bytes(s: socket.socket) -> None:
-    s.send(post(Request_Id="9b99")[:60])
-    s.close()
+def by_close(client: socket.socket) -> None:
+    client.close()
 
 
-def by_half_close(s: socket.socket) -> None:
-    s.shutdown(socket.SHUT_WR)  # no other than a close, as far as the kernel is told
+def by_reset(client: socket.socket) -> None:
+    client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    client.close()
 
 
-LEAVING = pytest.mark.parametrize("leave", [by_fin, by_reset, by_fin_behind_bytes, by_half_close])
+def by_close_after_bytes(client: socket.socket) -> None:
+    client.send(post(Request_Id="9b99")[:60])
+    client.close()
 
 
-def listing(*peers: Peer) -> EndpointList:
-    members = [member(f"s{i}", p.port) for i, p in enumerate(peers)]
-    parser = EndpointListParser(Clock(), ("a",), ("m",))
-    return parser.parse({"revision": 42, "complete": True, "members": members})
+def by_half_close(client: socket.socket) -> None:
+    client.shutdown(socket.SHUT_WR)  # the same as a close, as far as the agent's kernel is told
 
 
-class Caller:
-    """A client whose bytes and whose close reach the agent's kernel without a turn of the agent's loop."""
-
-    def __init__(self, w: World) -> None:
-        self._known = set(w.server.connections)
-        self._w = w
-        self.socket = socket.create_connection(("127.0.0.1", w.port))
-
-    async def accepted(self) -> Caller:
-        while not (fresh := self._w.server.connections - self._known):
-            await asyncio.sleep(0)
-        (self._there,) = fresh
-        return self
-
-    def leave(self, how: Callable[[socket.socket], None]) -> None:
-        how(self.socket)
-        assert self._there.transport is not None
-        poll = select.poll()
-        poll.register(self._there.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
-        assert poll.poll(10_000)  # it is in the kernel there, and has not been read
+WAYS_TO_DISCONNECT = pytest.mark.parametrize(
+    "disconnect", [by_close, by_reset, by_close_after_bytes, by_half_close]
+)
+STAYS_OR_DISCONNECTS = pytest.mark.parametrize("disconnect", [None, by_close, by_reset])
 
 
-async def kept_open(w: World) -> None:
-    """To each backend an idle connection: what is sent is then written in the very turn."""
-    pool = w.agent.upstream.pool
-    for there in listing(*w.backends).entries:
-        pool.release(await pool.open(there), True, there)
+async def open_idle_connections(setup: World) -> None:
+    """Open one to each endpoint, so that a request is written in the cycle in which it is sent."""
+    for listed in complete_list(*setup.backends).entries:
+        setup.pool.release(await setup.pool.open(listed), True, listed)
 
 
-async def taken(w: World, number: int) -> None:
-    while w.agent.accepted_count < number:
+async def assert_request_is_closed(setup: World) -> None:
+    """Once the disconnect has been read, nothing is in flight or pending, and nothing more is sent."""
+    while setup.server.connections or setup.server.open_request_ids:
         await asyncio.sleep(0)
+    await asyncio.sleep(TIME_TO_ARRIVE_S)
+    assert setup.agent.pending_count == 0
+    assert setup.agent.exchanges_in_flight == ()
+    assert setup.nothing_sent()
+    assert setup.balancer_request_count == 0
+    assert setup.balancer_queued_count == 0
+    assert setup.balancer_in_flight_count == 0
 
 
-async def nothing_goes_on(w: World) -> None:
-    """Wait for the turns in which all of it is seen; nothing more is sent or held."""
-    while w.server.connections or w.server.open_request_ids:
-        await asyncio.sleep(0)
-    await asyncio.sleep(0.3)  # what were sent on nevertheless would have come by now
-    balancer = w.agent._balancer
-    assert w.agent.pending_count == 0
-    assert w.agent.exchanges_in_flight == ()
-    assert w.nothing_sent()
-    assert not balancer.requests
-    assert not balancer.waiting
-    assert balancer.out == 0
-
-
-async def forgotten(w: World) -> None:
-    """The same where nothing was sent: nothing of it is left in the counts of the module either."""
-    await nothing_goes_on(w)
-    balancer = w.agent._balancer
-    assert all(s.own(balancer.now) == 0 for s in balancer.servers.values())
+async def assert_request_left_no_trace(setup: World) -> None:
+    """The same where nothing was sent: the balancer counts nothing of it against any endpoint either."""
+    await assert_request_is_closed(setup)
+    assert all(load == 0 for load in setup.balancer_load_by_endpoint())
 
 
 @asynccontextmanager
-async def waiting(folder: Path, draining: bool = False) -> AsyncIterator[tuple[World, Peer]]:
-    """An agent without backends, and one that it does not know yet."""
-    async with world(folder, backends=0) as w:
-        w.server.is_draining = draining
+async def agent_without_endpoints(
+    folder: Path, is_draining: bool = False
+) -> AsyncIterator[tuple[World, Peer]]:
+    """An agent whose endpoint list is empty, and a peer that the list may name later."""
+    async with world(folder, backends=0) as setup:
+        setup.server.is_draining = is_draining
         peer = await Peer().start()
-        w.backends.append(peer)
-        yield w, peer
+        setup.backends.append(peer)
+        yield setup, peer
+
 
+# While the balancer holds the request back
 
-@LEAVING
-@pytest.mark.parametrize("draining", [False, True])
-def test_one_held_by_the_module_is_not_sent_on(
-    tmp_path: Path, leave: Callable[[socket.socket], None], draining: bool
+
+@WAYS_TO_DISCONNECT
+@pytest.mark.parametrize("is_draining", [False, True])
+@async_test
+async def test_disconnect_before_the_first_endpoint_is_listed(
+    tmp_path: Path, disconnect: Disconnect, is_draining: bool
 ) -> None:
-    async def run() -> None:
-        async with waiting(tmp_path, draining) as (w, peer):
-            caller = await Caller(w).accepted()
-            caller.socket.send(post(UNSAFE))
-            await taken(w, 1)
-            caller.leave(leave)
-            w.agent.on_endpoint_list(listing(peer))  # what it waited for comes before its close is read
-            await forgotten(w)
-
-    asyncio.run(run())
-
-
-@LEAVING
-def test_a_burst_of_many_that_leave_at_once(tmp_path: Path, leave: Callable[[socket.socket], None]) -> None:
-    async def run() -> None:
-        async with waiting(tmp_path) as (w, peer):
-            callers = [await Caller(w).accepted() for _ in range(40)]
-            for i, caller in enumerate(callers):
-                caller.socket.send(post(UNSAFE, Request_Id=f"9b{i}"))
-            await taken(w, 40)
-            for caller in callers:
-                caller.leave(leave)
-            w.agent.on_endpoint_list(listing(peer))
-            await forgotten(w)
-
-    asyncio.run(run())
-
-
-@pytest.mark.parametrize("many", [1, 40])
-def test_one_that_left_before_its_request_was_read(tmp_path: Path, many: int) -> None:
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            await kept_open(w)
-            callers = [await Caller(w).accepted() for _ in range(many)]
-            for i, caller in enumerate(callers):
-                caller.socket.send(post(Request_Id=f"9b{i}"))
-                caller.leave(by_fin)
-            await forgotten(w)
-
-    asyncio.run(run())
-
-
-@pytest.mark.parametrize("many", [1, 40])
-def test_one_that_left_before_it_was_accepted(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, many: int
+    """A request waits for any endpoint. One is listed just after the client has disconnected."""
+    async with agent_without_endpoints(tmp_path, is_draining) as (setup, peer):
+        client = await BlockingClient(setup).accepted()
+        client.socket.send(post(UNSAFE))
+        await wait_for_accepted(setup, 1)
+        client.leave(disconnect)
+        setup.agent.on_endpoint_list(complete_list(peer))
+        await assert_request_left_no_trace(setup)
+
+
+@WAYS_TO_DISCONNECT
+@async_test
+async def test_disconnect_of_many_clients_at_once(tmp_path: Path, disconnect: Disconnect) -> None:
+    """The same with many: the requests are released one by one, while the closes of all are unread."""
+    async with agent_without_endpoints(tmp_path) as (setup, peer):
+        clients = [await BlockingClient(setup).accepted() for _ in range(40)]
+        for i, client in enumerate(clients):
+            client.socket.send(post(UNSAFE, Request_Id=f"9b{i}"))
+        await wait_for_accepted(setup, 40)
+        for client in clients:
+            client.leave(disconnect)
+        setup.agent.on_endpoint_list(complete_list(peer))
+        await assert_request_left_no_trace(setup)
+
+
+@STAYS_OR_DISCONNECTS
+@async_test
+async def test_disconnect_before_a_held_request_is_released_by_its_timer(
+    tmp_path: Path, disconnect: Disconnect | None
 ) -> None:
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            await kept_open(w)
-            came, accepted = w.server.connection_opened, list[ClientConnection]()
-
-            def counted(client: ClientConnection) -> None:
-                accepted.append(client)
-                came(client)
-
-            monkeypatch.setattr(w.server, "connection_opened", counted)
-            for i in range(many):
-                s = socket.create_connection(("127.0.0.1", w.port))
-                s.send(post(Request_Id=f"9b{i}"))
-                s.close()
-            while len(accepted) < many:
-                await asyncio.sleep(0)
-            await forgotten(w)
+    """The balancer holds a request back for a while, and the client disconnects just before the end.
+
+    Of a client that stays, the request is sent.
+    """
+    async with agent_without_endpoints(tmp_path) as (setup, peer):
+        await open_idle_connections(setup)
+        client = await BlockingClient(setup).accepted()
+        client.socket.send(post(UNSAFE))
+        await wait_for_accepted(setup, 1)
+        setup.agent.on_endpoint_list(complete_list(peer))
+        if disconnect is not None:
+            client.leave(disconnect)
+        setup.fire_next_balancer_timer()
+        if disconnect is not None:
+            return await assert_request_left_no_trace(setup)
+        await peer.requests.get()
+        client.socket.close()
+
+
+# Before the request is read
+
+
+@pytest.mark.parametrize("count", [1, 40])
+@async_test
+async def test_disconnect_before_the_request_is_read(tmp_path: Path, count: int) -> None:
+    """The event loop finds the request and the close at once."""
+    async with world(tmp_path) as setup:
+        await open_idle_connections(setup)
+        clients = [await BlockingClient(setup).accepted() for _ in range(count)]
+        for i, client in enumerate(clients):
+            client.socket.send(post(Request_Id=f"9b{i}"))
+            client.leave(by_close)
+        await assert_request_left_no_trace(setup)
+
+
+@pytest.mark.parametrize("count", [1, 40])
+@async_test
+async def test_disconnect_before_the_connection_is_accepted(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, count: int
+) -> None:
+    """The client connects, sends and closes while its connection is still in the accept queue."""
+    async with world(tmp_path) as setup:
+        await open_idle_connections(setup)
+        connection_opened, accepted = setup.server.connection_opened, list[ClientConnection]()
+
+        def count_accepted(client: ClientConnection) -> None:
+            accepted.append(client)
+            connection_opened(client)
+
+        monkeypatch.setattr(setup.server, "connection_opened", count_accepted)
+        for i in range(count):
+            client = socket.create_connection(("127.0.0.1", setup.port))
+            client.send(post(Request_Id=f"9b{i}"))
+            client.close()
+        while len(accepted) < count:
+            await asyncio.sleep(0)
+        await assert_request_left_no_trace(setup)
+
 
-    asyncio.run(run())
+# Before the next attempt
 
 
-def turned_away(first: Message) -> None:
+def reject(first: Message) -> None:
     first.peer.writer.write(b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 
 
-def broken(first: Message) -> None:
+def lose_connection(first: Message) -> None:
     first.peer.shut_down_socket()
 
 
-@LEAVING
-@pytest.mark.parametrize(("cls", "ends"), [(UNSAFE, turned_away), (KEYED, broken)])
-def test_one_that_waits_for_another_try(
-    tmp_path: Path, leave: Callable[[socket.socket], None], cls: str, ends: Callable[[Message], None]
+@WAYS_TO_DISCONNECT
+@pytest.mark.parametrize(("cls", "end_attempt"), [(UNSAFE, reject), (KEYED, lose_connection)])
+@async_test
+async def test_disconnect_before_a_retry(
+    tmp_path: Path, disconnect: Disconnect, cls: str, end_attempt: Callable[[Message], None]
 ) -> None:
-    async def run() -> None:
-        async with world(tmp_path, backends=2) as w:
-            await kept_open(w)
-            caller = await Caller(w).accepted()
-            caller.socket.send(post(cls))
-            ends(await w.request())  # in the kernel at once, and so it is read first
-            caller.leave(leave)
-            while w.agent.pending_count:
-                await asyncio.sleep(0)
-            await asyncio.sleep(0.3)
-            assert w.nothing_sent()
-            assert w.agent.exchanges_in_flight == ()
-            assert w.agent._balancer.out == 0
-
-    asyncio.run(run())
-
-
-def timer_falls_due(w: World) -> None:
-    """The next timer of the module fires ahead of whatever has not been read."""
-    balancer, now = w.agent._balancer, w.agent._clock.now
-    late_us = max(0, balancer.due[0][0] - now())
-    w.agent._clock.now = lambda: now() + late_us  # type: ignore[method-assign]
-    w.agent._dispatch(TimerFired(balancer.armed))
-
-
-STAYING = pytest.mark.parametrize("leave", [None, by_fin, by_reset])
-
-
-@STAYING
-def test_one_whose_hold_ends_before_its_close_is_read(
-    tmp_path: Path, leave: Callable[[socket.socket], None] | None
-) -> None:
-    async def run() -> None:
-        async with waiting(tmp_path) as (w, peer):
-            await kept_open(w)
-            caller = await Caller(w).accepted()
-            caller.socket.send(post(UNSAFE))
-            await taken(w, 1)
-            w.agent.on_endpoint_list(listing(peer))
-            if leave is not None:
-                caller.leave(leave)
-            timer_falls_due(w)
-            if leave is not None:
-                return await forgotten(w)
-            await peer.requests.get()  # who stays is served
-            caller.socket.close()
-
-    asyncio.run(run())
-
-
-@STAYING
-def test_one_whose_second_copy_is_due_before_its_close_is_read(
-    tmp_path: Path, leave: Callable[[socket.socket], None] | None
-) -> None:
-    async def run() -> None:
-        async with world(tmp_path, backends=2, secondCopies=True) as w:
-            await kept_open(w)
-            w.agent._balancer.table.typical = 3e6  # due after thrice as long
-            caller = await Caller(w).accepted()
-            caller.socket.send(post())
-            first = await w.request()
-            if leave is not None:
-                caller.leave(leave)
-            timer_falls_due(w)
-            if leave is not None:
-                await first.peer.ended()
-                return await nothing_goes_on(w)
-            await w.request()  # who stays gets the copy
-            caller.socket.close()
-
-    asyncio.run(run())
-
-
-@LEAVING
-@pytest.mark.parametrize("read", [False, True])
-def test_one_that_waits_for_a_connection_that_comes_up_late(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Callable[[socket.socket], None], read: bool
+    """The first attempt ends, and the client disconnects. The event loop reads the attempt's end first."""
+    async with world(tmp_path, backends=2) as setup:
+        await open_idle_connections(setup)
+        client = await BlockingClient(setup).accepted()
+        client.socket.send(post(cls))
+        end_attempt(await setup.request())
+        client.leave(disconnect)
+        while setup.agent.pending_count:
+            await asyncio.sleep(0)
+        await asyncio.sleep(TIME_TO_ARRIVE_S)
+        assert setup.nothing_sent()
+        assert setup.agent.exchanges_in_flight == ()
+        assert setup.balancer_in_flight_count == 0
+
+
+@STAYS_OR_DISCONNECTS
+@async_test
+async def test_disconnect_before_a_hedged_request(tmp_path: Path, disconnect: Disconnect | None) -> None:
+    """An attempt is in flight, and the client disconnects just before the hedged request is due.
+
+    Of a client that stays, the hedged request is sent.
+    """
+    async with world(tmp_path, backends=2, secondCopies=True) as setup:
+        await open_idle_connections(setup)
+        setup.set_typical_latency_us(3e6)  # a hedged request is due after thrice as long
+        client = await BlockingClient(setup).accepted()
+        client.socket.send(post())
+        first = await setup.request()
+        if disconnect is not None:
+            client.leave(disconnect)
+        setup.fire_next_balancer_timer()
+        if disconnect is not None:
+            await first.peer.ended()
+            return await assert_request_is_closed(setup)
+        await setup.request()
+        client.socket.close()
+
+
+# While the agent waits for an endpoint
+
+
+@WAYS_TO_DISCONNECT
+@pytest.mark.parametrize("is_read", [False, True])
+@async_test
+async def test_disconnect_during_a_connect(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, is_read: bool
 ) -> None:
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            pool = w.agent.upstream.pool
-            opened, let = asyncio.Event(), asyncio.Event()
-            to_open = pool.open
-
-            async def late(member: object) -> object:
-                connection = await to_open(member)  # type: ignore[arg-type]
-                opened.set()
-                await let.wait()
-                return connection
-
-            monkeypatch.setattr(pool, "open", late)
-            caller = await Caller(w).accepted()
-            caller.socket.send(post(UNSAFE))
-            await opened.wait()
-            if read:
-                caller.leave(leave)
-                while w.agent.pending_count:
-                    await asyncio.sleep(0)
-                let.set()
-            else:  # the connection is up in the very turn
-                let.set()  # who waits for it is next to run, ahead of whoever reads the close
-                caller.leave(leave)
-            await forgotten(w)
-            assert pool.opening_count == 0
-
-    asyncio.run(run())
-
-
-class Unprobed(Peer):
-    """Its probes are the test's to answer, too."""
-
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        conversation = Conversation(reader, writer)
-        conversation.closed_by_other = asyncio.Event()
-        try:
-            while True:
-                self.requests.put_nowait(await conversation.read())
-        except (asyncio.IncompleteReadError, ConnectionError):
-            conversation.closed_by_other.set()
-        finally:
-            writer.close()
-
-
-@LEAVING
-def test_one_that_waits_for_a_probe(tmp_path: Path, leave: Callable[[socket.socket], None]) -> None:
-    async def run() -> None:
-        async with world(tmp_path, backends=0, probes=True) as w:
-            peer = await Unprobed().start()
-            w.backends.append(peer)
-            w.agent.on_endpoint_list(listing(peer))
-            caller = await Caller(w).accepted()
-            caller.socket.send(post(UNSAFE))
-            probe = await peer.requests.get()
-            assert probe.first.startswith("GET /_load")
-            head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LOAD)
-            probe.peer.writer.write(head + LOAD)
-            caller.leave(leave)
-            await forgotten(w)
-
-    asyncio.run(run())
-
-
-def test_what_is_out_is_closed_and_no_longer_counted(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            caller = await Caller(w).accepted()
-            caller.socket.send(post())
-            out = await w.request()
-            caller.leave(by_reset)
-            await out.peer.ended()
-            while w.server.connections:
+    """A client disconnects while a connection for its request is being established.
+
+    The connection is handed over after the close was read, or in the cycle before that.
+    """
+    async with world(tmp_path) as setup:
+        connect = DelayedConnect(setup, monkeypatch)
+        client = await BlockingClient(setup).accepted()
+        client.socket.send(post(UNSAFE))
+        await connect.established.wait()
+        if is_read:
+            client.leave(disconnect)
+            while setup.agent.pending_count:
                 await asyncio.sleep(0)
-            assert w.agent.pending_count == 0
-            assert w.agent.exchanges_in_flight == ()
-            assert w.agent._balancer.out == 0
-            assert not w.agent._balancer.requests
-
-    asyncio.run(run())
+            connect.hand_over()
+        else:
+            connect.hand_over()
+            client.leave(disconnect)
+        await assert_request_left_no_trace(setup)
+        assert setup.pool.opening_count == 0
+
+
+@WAYS_TO_DISCONNECT
+@async_test
+async def test_disconnect_during_a_probe(tmp_path: Path, disconnect: Disconnect) -> None:
+    """A request waits for the load of an endpoint. The answer to the probe is read before the close."""
+    async with world(tmp_path, backends=0, probes=True) as setup:
+        peer = await Peer(answers_probes=False).start()
+        setup.backends.append(peer)
+        setup.agent.on_endpoint_list(complete_list(peer))
+        client = await BlockingClient(setup).accepted()
+        client.socket.send(post(UNSAFE))
+        probe = await peer.requests.get()
+        assert probe.first.startswith("GET /_load")
+        head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LOAD)
+        probe.peer.writer.write(head + LOAD)
+        client.leave(disconnect)
+        await assert_request_left_no_trace(setup)
+
+
+@async_test
+async def test_disconnect_closes_the_attempt_in_flight(tmp_path: Path) -> None:
+    """A client resets its connection while an endpoint works on its request: that attempt is closed."""
+    async with world(tmp_path) as setup:
+        client = await BlockingClient(setup).accepted()
+        client.socket.send(post())
+        message = await setup.request()
+        client.leave(by_reset)
+        await message.peer.ended()
+        while setup.server.connections:
+            await asyncio.sleep(0)
+        assert setup.agent.pending_count == 0
+        assert setup.agent.exchanges_in_flight == ()
+        assert setup.balancer_in_flight_count == 0
+        assert setup.balancer_request_count == 0
