--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent between scripted peers: answers given once, attempts by the rules, faults contained."""
+"""The agent between scripted peers: each request gets one answer, and a fault costs one request at most."""
 
 from __future__ import annotations
 
@@ -8,259 +8,252 @@
 
 import pytest
 
+from nickelmount.agent.agent import Agent
 from nickelmount.agent.connection_pool import ConnectionPool, PooledConnection
 from nickelmount.agent.discovery import ListedEndpoint
 from nickelmount.balancer.balancer import Balancer
 from nickelmount.balancer.events import Event, RequestArrived
-from tests.loopback import KEYED, UNSAFE, World, post, world
-
-
-def test_a_request_goes_on_unchanged_and_connections_are_kept(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            client = await w.ask(post(body=b"\x00wheel\xff"))
-            got = await w.request()
-            assert got.first == "POST /api?obj=7f3a HTTP/1.1"
-            assert got.body == b"\x00wheel\xff"
-            assert got.headers["request-id"] == "9b1f"
-            assert got.headers["idempotency-key"] == "5c0f"
-            assert 0 < int(got.headers["request-timeout-ms"]) <= 30_000
-            await got.answer(200, b"\xfeok")
-            answer = await client.read()
-            assert (answer.status, answer.body) == (200, b"\xfeok")
-            await client.write(post())
-            await (await w.request()).answer()
-            assert (await client.read()).status == 200
-            assert w.backends[0].connections == 1
-
-    asyncio.run(run())
-
-
-def test_samples_are_asked_for_their_load_first(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path, probes=True) as w:
-            client = await w.ask(post())
-            await (await w.request()).answer()
-            assert (await client.read()).status == 200
-            # The probe's connection served the attempt.
-            assert w.backends[0].connections == 1
-
-    asyncio.run(run())
-
-
-async def outcome_of_reset(w: World, cls: str) -> int:
-    """Resets the first attempt; answers the second, if one comes. Returns what the client gets."""
-    client = await w.ask(post(cls))
-    (await w.request()).peer.reset()
+from tests.loopback import KEYED, UNSAFE, World, async_test, post, world
+
+# Requests and their answers
+
+
+@async_test
+async def test_a_request_is_forwarded_unchanged_and_connections_are_reused(tmp_path: Path) -> None:
+    async with world(tmp_path) as setup:
+        client = await setup.ask(post(body=b"\x00wheel\xff"))
+        message = await setup.request()
+        assert message.first == "POST /api?obj=7f3a HTTP/1.1"
+        assert message.body == b"\x00wheel\xff"
+        assert message.headers["request-id"] == "9b1f"
+        assert message.headers["idempotency-key"] == "5c0f"
+        assert 0 < int(message.headers["request-timeout-ms"]) <= 30_000
+        await message.answer(200, b"\xfeok")
+        answer = await client.read()
+        assert (answer.status, answer.body) == (200, b"\xfeok")
+        await client.write(post())
+        await (await setup.request()).answer()
+        assert (await client.read()).status == 200
+        assert setup.backends[0].connections == 1
+
+
+@async_test
+async def test_endpoints_are_probed_first_and_the_connection_serves_the_attempt(tmp_path: Path) -> None:
+    async with world(tmp_path, probes=True) as setup:
+        client = await setup.ask(post())
+        await (await setup.request()).answer()
+        assert (await client.read()).status == 200
+        assert setup.backends[0].connections == 1
+
+
+async def status_after_reset(setup: World, cls: str) -> int:
+    """Reset the first attempt, and answer the second one if it comes; return what the client gets."""
+    client = await setup.ask(post(cls))
+    (await setup.request()).peer.reset()
     answer = asyncio.create_task(client.read())
-    again = asyncio.create_task(w.request())
-    await asyncio.wait([answer, again], return_when=asyncio.FIRST_COMPLETED)
-    if again.done():
-        await again.result().answer()
+    retry = asyncio.create_task(setup.request())
+    await asyncio.wait([answer, retry], return_when=asyncio.FIRST_COMPLETED)
+    if retry.done():
+        await retry.result().answer()
     else:
-        again.cancel()
+        retry.cancel()
     return (await answer).status
 
 
 @pytest.mark.parametrize(("cls", "status"), [(KEYED, 200), (UNSAFE, 502)])
-def test_what_may_have_run_is_repeated_only_where_repeats_are_dropped(
+@async_test
+async def test_what_may_have_run_is_retried_only_where_repeats_are_dropped(
     tmp_path: Path, cls: str, status: int
 ) -> None:
-    async def run() -> None:
-        async with world(tmp_path, backends=3) as w:
-            assert await outcome_of_reset(w, cls) == status
-            assert w.nothing_sent()
-
-    asyncio.run(run())
-
-
-def test_unsafe_work_that_surely_never_ran_is_tried_again(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path, backends=3) as w:
-            client = await w.ask(post(UNSAFE))
-            await (await w.request()).answer(503, b"", Not_Started="1")
-            await (await w.request()).answer()
-            assert (await client.read()).status == 200
-
-    asyncio.run(run())
-
-
-def test_a_client_that_leaves_ends_its_attempt(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            client = await w.ask(post())
-            got = await w.request()
-            client.close()
-            await got.peer.ended()
-            client = await w.ask(post())
-            await (await w.request()).answer()
-            assert (await client.read()).status == 200
-
-    asyncio.run(run())
-
-
-def test_the_attempt_is_closed_when_time_is_up_and_the_client_told(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            client = await w.ask(post(UNSAFE, timeout_ms="1000"))
-            got = await w.request()
-            assert (await client.read()).status == 502
-            await got.peer.ended()
-
-    asyncio.run(run())
-
-
-def test_a_refusal_says_when_to_come_back(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            client = await w.ask(post())
-            await (await w.request()).answer()
-            await client.read()
-            # Full for good: after the attempts that the budget allows the module gives up, at once.
-            await client.write(post(UNSAFE))
-            answer = asyncio.create_task(client.read())
-            while not answer.done():
-                got = asyncio.create_task(w.request())
-                await asyncio.wait([answer, got], return_when=asyncio.FIRST_COMPLETED)
-                if got.done():
-                    await got.result().answer(503, b"", Not_Started="1")
-                else:
-                    got.cancel()
-            assert answer.result().status == 503
-            assert float(answer.result().headers["retry-after"]) > 0
-
-    asyncio.run(run())
-
-
-def test_a_fault_of_the_module_costs_one_request_at_most(
+    """An endpoint resets the connection after it has got a request, which may have run."""
+    async with world(tmp_path, backends=3) as setup:
+        assert await status_after_reset(setup, cls) == status
+        assert setup.nothing_sent()
+
+
+@async_test
+async def test_a_request_that_surely_never_ran_is_retried_in_every_class(tmp_path: Path) -> None:
+    """An endpoint rejects a request of a class that must not run twice, and says that it has not begun."""
+    async with world(tmp_path, backends=3) as setup:
+        client = await setup.ask(post(UNSAFE))
+        await (await setup.request()).answer(503, b"", Not_Started="1")
+        await (await setup.request()).answer()
+        assert (await client.read()).status == 200
+
+
+@async_test
+async def test_a_client_that_disconnects_ends_its_attempt(tmp_path: Path) -> None:
+    async with world(tmp_path) as setup:
+        client = await setup.ask(post())
+        message = await setup.request()
+        client.close()
+        await message.peer.ended()
+        client = await setup.ask(post())
+        await (await setup.request()).answer()
+        assert (await client.read()).status == 200
+
+
+@async_test
+async def test_at_its_timeout_a_request_is_answered_and_its_attempt_closed(tmp_path: Path) -> None:
+    async with world(tmp_path) as setup:
+        client = await setup.ask(post(UNSAFE, timeout_ms="1000"))
+        message = await setup.request()
+        assert (await client.read()).status == 502
+        await message.peer.ended()
+
+
+@async_test
+async def test_a_rejection_says_when_to_retry(tmp_path: Path) -> None:
+    """The endpoint rejects everything. After the attempts that its budget allows the balancer gives up."""
+    async with world(tmp_path) as setup:
+        client = await setup.ask(post())
+        await (await setup.request()).answer()
+        await client.read()
+        await client.write(post(UNSAFE))
+        answer = asyncio.create_task(client.read())
+        while not answer.done():
+            message = asyncio.create_task(setup.request())
+            await asyncio.wait([answer, message], return_when=asyncio.FIRST_COMPLETED)
+            if message.done():
+                await message.result().answer(503, b"", Not_Started="1")
+            else:
+                message.cancel()
+        assert answer.result().status == 503
+        assert float(answer.result().headers["retry-after"]) > 0
+
+
+# Faults of the program itself
+
+
+@async_test
+async def test_a_fault_of_the_balancer_costs_one_request_at_most(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    whole = Balancer.handle
+    """The balancer raises on the arrival of a request. That one fails, and the next one is served."""
+    handle = Balancer.handle
     failed: list[Event] = []
 
-    def handle(self: Balancer, now: int, event: Event) -> list[Any]:
+    def fail_once(self: Balancer, now: int, event: Event) -> list[Any]:
         if isinstance(event, RequestArrived) and not failed:
             failed.append(event)
             raise ZeroDivisionError("mean of none")
-        return whole(self, now, event)
-
-    monkeypatch.setattr(Balancer, "handle", handle)
-
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            client = await w.ask(post())
-            assert (await client.read()).status == 500
-            await client.write(post())
-            await (await w.request()).answer()
-            assert (await client.read()).status == 200
+        return handle(self, now, event)
 
-    asyncio.run(run())
+    monkeypatch.setattr(Balancer, "handle", fail_once)
+    async with world(tmp_path) as setup:
+        client = await setup.ask(post())
+        assert (await client.read()).status == 500
+        await client.write(post())
+        await (await setup.request()).answer()
+        assert (await client.read()).status == 200
 
 
-def test_a_request_that_the_module_forgets_is_answered_all_the_same(
+@async_test
+async def test_a_request_that_the_balancer_forgets_is_answered_all_the_same(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    whole = Balancer.handle
+    """The balancer returns no action for a request, not even at its timeout. The agent answers itself."""
+    handle = Balancer.handle
     monkeypatch.setattr(
         Balancer,
         "handle",
-        lambda self, now, event: [] if isinstance(event, RequestArrived) else whole(self, now, event),
+        lambda self, now, event: [] if isinstance(event, RequestArrived) else handle(self, now, event),
     )
-
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            client = await w.ask(post(timeout_ms="30"))
-            assert (await client.read()).status == 500
-
-    asyncio.run(run())
+    async with world(tmp_path) as setup:
+        client = await setup.ask(post(timeout_ms="30"))
+        assert (await client.read()).status == 500
 
 
-def test_an_action_that_ends_at_once_does_not_re_enter_the_module(
+def test_an_action_that_ends_at_once_does_not_re_enter_the_balancer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    whole, depth, deepest = Balancer.handle, [0], [0]
-
-    def handle(self: Balancer, now: int, event: Event) -> list[Any]:
-        actions = whole(self, now, event)
-        deepest[0] = max(deepest[0], depth[0])
+    """No connection may be opened, so an attempt ends as not sent while its action is being carried out.
+
+    Its end must wait until the other actions of that decision are carried out: the balancer handles one event
+    at a time.
+    """
+    balancer_handle, agent_handle = Balancer.handle, Agent._handle_event
+    depth = max_depth = 0
+
+    def record_depth(self: Balancer, now: int, event: Event) -> list[Any]:
+        nonlocal max_depth
+        actions = balancer_handle(self, now, event)
+        max_depth = max(max_depth, depth)
         return actions
 
-    from nickelmount.agent.agent import Agent
-
-    handled = Agent._handle_event
-
-    def agent_handle(self: Agent, event: Event) -> None:
-        depth[0] += 1
-        handled(self, event)
-        depth[0] -= 1
+    def count_depth(self: Agent, event: Event) -> None:
+        nonlocal depth
+        depth += 1
+        agent_handle(self, event)
+        depth -= 1
 
-    monkeypatch.setattr(Balancer, "handle", handle)
-    monkeypatch.setattr(Agent, "_handle_event", agent_handle)
+    monkeypatch.setattr(Balancer, "handle", record_depth)
+    monkeypatch.setattr(Agent, "_handle_event", count_depth)
 
     async def run() -> None:
-        # One connection to backends at most, and that one is busy: the next attempt ends unsent, at once.
-        async with world(tmp_path) as w:
-            w.agent.upstream.pool.max_connections = 1
-            first = await w.ask(post())
-            got = await w.request()
-            second = await w.ask(post(UNSAFE, Request_Id="9b20"))
+        async with world(tmp_path) as setup:
+            setup.pool.max_connections = 1
+            first = await setup.ask(post())
+            message = await setup.request()
+            second = await setup.ask(post(UNSAFE, Request_Id="9b20"))
             assert (await second.read()).status == 503
-            await got.answer()
+            await message.answer()
             assert (await first.read()).status == 200
 
     asyncio.run(run())
-    assert deepest[0] == 1
+    assert max_depth == 1
 
 
-def test_a_send_for_a_request_already_answered_ends_in_the_module_too(
+@async_test
+async def test_an_attempt_for_a_request_already_answered_ends_in_the_balancer_too(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # What has no end counts for ever in the module's bound on attempts out.
-    whole, agents = Balancer.handle, list[Any]()
+    """A request is answered after the balancer has decided on an attempt and before that is carried out.
 
-    def handle(self: Balancer, now: int, event: Event) -> list[Any]:
-        actions = whole(self, now, event)
+    The attempt is not sent. Without an end, the balancer would count it as in flight for ever, and its limit
+    on attempts would in time be used up.
+    """
+    handle, agents = Balancer.handle, list[Agent]()
+
+    def answer_after_decision(self: Balancer, now: int, event: Event) -> list[Any]:
+        actions = handle(self, now, event)
         if isinstance(event, RequestArrived) and event.request_id <= 3:
-            agents[0]._answer_failed(event.request_id)  # between the decision and its being carried out
+            agents[0]._answer_failed(event.request_id)
         return actions
 
-    monkeypatch.setattr(Balancer, "handle", handle)
-
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            agents.append(w.agent)
-            client = await w.client()
-            for _ in range(3):
-                await client.write(post())
-                assert (await client.read()).status == 500
-            assert w.nothing_sent()
-            assert (w.agent._balancer.out, w.agent._balancer.requests) == (0, {})
+    monkeypatch.setattr(Balancer, "handle", answer_after_decision)
+    async with world(tmp_path) as setup:
+        agents.append(setup.agent)
+        client = await setup.client()
+        for _ in range(3):
             await client.write(post())
-            await (await w.request()).answer()
-            assert (await client.read()).status == 200
-
-    asyncio.run(run())
+            assert (await client.read()).status == 500
+        assert setup.nothing_sent()
+        assert (setup.balancer_in_flight_count, setup.balancer_request_count) == (0, 0)
+        await client.write(post())
+        await (await setup.request()).answer()
+        assert (await client.read()).status == 200
 
 
-def test_an_attempt_that_cannot_be_started_ends_in_the_module_too(
+@async_test
+async def test_an_attempt_that_cannot_be_started_ends_in_the_balancer_too(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    whole, tries = ConnectionPool.acquire, list[int]()
-
-    def take(self: ConnectionPool, member: ListedEndpoint) -> PooledConnection | None:
-        tries.append(1)
-        if len(tries) == 1:
+    """Starting an attempt raises. It ends as not sent, and the balancer tries another endpoint."""
+    acquire = ConnectionPool.acquire
+    acquire_count = 0
+
+    def fail_once(self: ConnectionPool, listed: ListedEndpoint) -> PooledConnection | None:
+        nonlocal acquire_count
+        acquire_count += 1
+        if acquire_count == 1:
             raise OSError("no descriptor for a poll")
-        return whole(self, member)
-
-    monkeypatch.setattr(ConnectionPool, "acquire", take)
-
-    async def run() -> None:
-        async with world(tmp_path, backends=2) as w:
-            client = await w.ask(post(UNSAFE))
-            await (await w.request()).answer()
-            assert (await client.read()).status == 200
-            assert len(tries) == 2
-            assert (w.agent._balancer.out, w.agent._balancer.requests) == (0, {})
-
-    asyncio.run(run())
+        return acquire(self, listed)
+
+    monkeypatch.setattr(ConnectionPool, "acquire", fail_once)
+    async with world(tmp_path, backends=2) as setup:
+        client = await setup.ask(post(UNSAFE))
+        await (await setup.request()).answer()
+        assert (await client.read()).status == 200
+        assert acquire_count == 2
+        assert (setup.balancer_in_flight_count, setup.balancer_request_count) == (0, 0)
