--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -155,11 +155,11 @@
         ("s5", EndpointStatus.READY),
         ("s9", EndpointStatus.REMOVED),
     ]
-    assert there.ready("s9") is None
-    assert there.ready("s3") is None
+    assert there.ready_endpoint("s9") is None
+    assert there.ready_endpoint("s3") is None
     (back,) = there.apply(read.parse(whole(4, changed)))
     assert back.id == "s9"
-    assert there.ready("s9") is not None
+    assert there.ready_endpoint("s9") is not None
 
 
 def test_an_entry_that_reads_as_before_is_the_same_and_what_is_not_listed_is_not_kept() -> None:
@@ -291,7 +291,7 @@
                 assert (
                     {s.id for s in a.agent._balancer.endpoints.ready}
                     == serving
-                    == set(a.agent._backends._members)
+                    == a.agent.upstream.endpoint_ids
                 )
                 a.end()
         finally:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,9 @@
 from nickelmount.agent import listener as server_module
 from nickelmount.agent.listener import ShutdownTimes
 from tests.loopback import UNSAFE, Conversation, Peer, config_doc, member, post, world
-from tests.test_client_disconnects import Caller, listing, taken
+from tests.loopback import BlockingClient as Caller
+from tests.loopback import complete_list as listing
+from tests.loopback import wait_for_accepted as taken
 from tests.test_reload import Running, whole
 
 NOW = ShutdownTimes(idle_s=0.0, serve_s=0.0, end_s=30.0)
@@ -139,7 +141,7 @@
         async with world(tmp_path) as w:
             sent = await w.ask(post(UNSAFE))
             await w.request()
-            w.agent._listed(listing())
+            w.agent.on_endpoint_list(listing())
             held = await w.ask(post(UNSAFE, Request_Id="9b20"))
             await taken(w, 2)
             stop = asyncio.create_task(w.server.shut_down(ShutdownTimes(0.0, 0.0, 0.05)))
