--- a/nickelmount/agent/downstream.py
+++ b/nickelmount/agent/downstream.py
@@ -1,228 +1,308 @@
-"""One connection of the application: requests read from it one at a time, answers written to it."""
+"""One connection of a client: requests are read from it one at a time, and their answers written to it.
+
+A connection is in one of these states (ClientState):
+
+- IDLE: nothing of a request has arrived since it was opened, or since its last answer.
+- READING: a request has begun to arrive and is not complete.
+- IN_FLIGHT: a complete request is with the handler, which answers it. Bytes that arrive meanwhile, but for
+  line ends, are a pipelined request: they are dropped, and an error follows the answer.
+- LINGERING: the last answer was sent, with Connection: close, and the sending side is closed. What still
+  arrives is read and dropped until the client closes. Were the connection closed upon unread bytes, the kernel
+  would reset it, and the client could lose the answer.
+
+    IDLE -> READING -> IN_FLIGHT -> IDLE       the answer allows a further request
+                       IN_FLIGHT -> LINGERING  the client asked for a close, it sent a pipelined request,
+                                               or the agent is draining
+    IDLE, READING -> LINGERING                 malformed input, or READING took too long
+    any -> closed                              by the client, or by the listener
+
+A request that arrives complete at once skips READING. One that needs no handler (the health check, a request
+that is not valid) is answered at once and skips IN_FLIGHT.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum
 from typing import Protocol
 
 from httptools import HttpRequestParser
 
 from nickelmount.errors import HttpError
+from nickelmount.protocol.http_names import API_PATH, EXPECT, HEALTH_PATH
 
 from .connection import Connection
 from .http import Headers, HttpMessage, HttpReader, encode_response
 from .request_validation import ClientRequest, RequestValidator
 
-API, HEALTH = b"/api", b"/_health"
-BODY_LIMIT = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024  # of a request
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+REJECTED_BODY = b"refused\n"
+CONNECTION_CLOSE = ("Connection", "close")
+
+
+class ClientState(Enum):
+    """What a connection is doing; see the module's docstring."""
+
+    IDLE = "idle"
+    READING = "reading"
+    IN_FLIGHT = "in_flight"
+    LINGERING = "lingering"
 
 
 @dataclass(slots=True, frozen=True)
 class ClientTimeouts:
-    """How long a connection may stay as it is, in seconds. All are looked at together, `sweep_s` apart."""
+    """How long a connection may stay in a state, in seconds; IN_FLIGHT has the request's own timeout."""
 
-    sweep_s: float = 0.25
-    silent_s: float = 2.25  # nothing has come since it was opened
-    unfinished_s: float = 2.25  # a request has begun to come; the first counts from the connection's start
-    linger_s: float = 3.0  # after an answer that is the last, till the client closes
-    spare_s: float = 2.0  # nothing open on it; from then on it makes way where there is no room
-    kept_s: float = 20.0  # nothing open on it
+    sweep_interval_s: float = 0.25  # between two looks at all connections: a limit is exceeded by up to this
+    first_byte_s: float = 2.25  # IDLE since the connection was opened
+    request_s: float = 2.25  # READING; for the first request, counted from when the connection was opened
+    linger_s: float = 3.0  # LINGERING
+    evictable_after_s: float = 2.0  # IDLE since an answer; from then on it is closed where a new one needs it
+    keepalive_s: float = 20.0  # IDLE since an answer
 
 
 class RequestHandler(Protocol):
-    """Who takes the calls."""
+    """Answers the requests of clients."""
 
-    def accept(self, call: ClientRequest) -> None: ...
+    def accept(self, request: ClientRequest) -> None:
+        """Become responsible for a request: `request.respond` is to be called once."""
 
-    def client_left(self, call: ClientRequest) -> None:
-        """The client has gone."""
+    def client_left(self, request: ClientRequest) -> None:
+        """Drop a request whose client has disconnected; no answer is due."""
 
     def finish_all(self) -> None:
-        """Answer at once whatever is held."""
+        """Answer every request that is in flight at once."""
 
 
 class ConnectionHost(Protocol):
-    """What a connection needs of its server."""
+    """What a connection needs of its listener."""
 
     handler: RequestHandler
     validator: RequestValidator
-    is_draining: bool
-    is_rejecting: bool
-    open_request_ids: set[bytes]
+    is_draining: bool  # every answer is the last of its connection
+    is_rejecting: bool  # requests that arrive are rejected
+    open_request_ids: set[bytes]  # of the requests that are in flight on any connection
 
-    def connection_opened(self, client: ClientConnection) -> None: ...
+    def connection_opened(self, client: ClientConnection) -> None:
+        """Admit a new connection, or close it."""
 
-    def connection_closed(self, client: ClientConnection) -> None: ...
+    def connection_closed(self, client: ClientConnection) -> None:
+        """Forget a connection that has ended."""
 
 
 class ClientConnection(Connection):
-    """A connection of the application; one request at a time."""
+    """A connection of a client; one request at a time.
+
+    Public attributes, to be read only: `has_answered` is whether a request has been answered on it,
+    `is_lingering` whether it is in state LINGERING, `timer_started_at` the time by `now`, in seconds, from
+    which the limit of the present state counts.
+    """
 
     def __init__(self, host: ConnectionHost, now: Callable[[], float]) -> None:
         super().__init__()
         self._host, self._now = host, now
-        self._reader = HttpReader(HttpRequestParser, BODY_LIMIT)
-        self._request: HttpMessage | None = None  # the one in hand
-        self._call: ClientRequest | None = None
-        self._ahead = False  # more came while it was
-        self._continued: HttpMessage | None = None  # has been asked for its body
-        self.since = now()  # when the present wait began
-        self.asked = False  # a request has been answered
-        self.lingers = False
+        self._reader = HttpReader(HttpRequestParser, MAX_BODY_BYTES)
+        self._message: HttpMessage | None = None  # the complete request that is still to be answered
+        self._request: ClientRequest | None = None  # the same, while it is with the handler
+        self._has_pipelined_input = False  # more than line ends arrived while it was
+        self._continue_sent_for: HttpMessage | None = None
+        self.timer_started_at = now()
+        self.has_answered = False
+        self.is_lingering = False
 
-    # Its state
+    # State and time limits
 
     @property
-    def spare(self) -> bool:
-        """Nothing of a request has come, as far as the kernel knows."""
-        return (
-            self._call is None
-            and self._reader.incomplete is None
-            and not self.discards_input
-            and self.nothing_to_read()
-        )
+    def state(self) -> ClientState:
+        """What the connection is doing, as far as its bytes have been read."""
+        if self._request is not None:
+            return ClientState.IN_FLIGHT
+        if self.is_lingering:
+            return ClientState.LINGERING
+        if self._reader.incomplete is not None:
+            return ClientState.READING
+        return ClientState.IDLE
+
+    def is_idle(self) -> bool:
+        """Whether nothing of a request has arrived, not even in the kernel: closing it now loses nothing."""
+        return self.state is ClientState.IDLE and not self.discards_input and self.nothing_to_read()
 
-    def parted(self, after_s: float) -> bool:
-        """The last answer was given so long ago, and closing now resets nothing of it."""
+    def has_lingered(self, duration_s: float) -> bool:
+        """Whether its last answer is older than this and all written, and a close would not reset it."""
         return (
-            self.lingers
+            self.is_lingering
             and self.all_written
-            and self._now() - self.since > after_s
+            and self._now() - self.timer_started_at > duration_s
             and self.nothing_to_read()
         )
 
-    def allowed_s(self, times: ClientTimeouts) -> float | None:
-        """How long it may stay as it is; None: a request is in hand, and that is timed elsewhere."""
-        if self._call is not None:
+    def time_limit_s(self, timeouts: ClientTimeouts) -> float | None:
+        """How long it may stay as it is, from `timer_started_at`; None: the request's own timeout applies."""
+        state = self.state
+        if state is ClientState.IN_FLIGHT:
             return None
-        if self.lingers:
-            return times.linger_s
-        if self._reader.incomplete is not None:
-            return times.unfinished_s
-        return times.kept_s if self.asked else times.silent_s
+        if state is ClientState.LINGERING:
+            return timeouts.linger_s
+        if state is ClientState.READING:
+            return timeouts.request_s
+        return timeouts.keepalive_s if self.has_answered else timeouts.first_byte_s
 
     def expire(self) -> None:
-        """It has stayed as it is for too long."""
-        if self.lingers or self.discards_input:
+        """End a connection that has exceeded its time limit."""
+        if self.is_lingering or self.discards_input:
             self.abort()
         elif self._reader.incomplete is not None:
-            self._error(HttpError(408, "request not complete in time"))
+            self._send_error(HttpError(408, "request not complete in time"))
         elif not self.all_written:
-            self.abort()  # it does not read its answer, and a close would wait for that
+            self.abort()  # the client does not read its answer, and close() would wait until it does
         elif self.nothing_to_read():
             self.close()
 
-    # What comes in
+    # Called by Connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Ask the listener for admission."""
         super().connection_made(transport)
         self._host.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Tell the listener of the end."""
         super().connection_lost(exc)
         self._host.connection_closed(self)
 
     def on_data(self, data: bytes) -> None:
-        if self._call is not None:
-            # Nothing behind a request in hand is looked at; line ends between messages mean nothing.
-            self._ahead = self.discards_input = bool(data.strip(b"\r\n"))
-            return
-        if not self.all_written:
-            return self.abort()  # asks on and reads nothing: its answers would pile up here
-        fresh = self._reader.incomplete is None
-        whole = self._reader.feed(data)
-        current, error = self._reader.incomplete, self._reader.error
-        if whole and (len(whole) > 1 or current is not None or error is not None):
-            self._error(HttpError(400, "one request at a time"))
-        elif error is not None:
-            self._error(error)
-        elif whole:
-            self._take(whole[0])
-        elif current is not None:
-            if fresh and self.asked:
-                self.since = self._now()
-            self._continue(current)
+        """Read what the client sent; nothing of a pipelined request is looked at."""
+        if self._request is not None:
+            self._has_pipelined_input = self.discards_input = bool(data.strip(b"\r\n"))
+        elif not self.all_written:
+            # The client sends requests and reads no answers: these would pile up in the memory of the agent.
+            self.abort()
+        else:
+            self._read(data)
 
     def on_handler_error(self) -> None:
-        self._leave()
-        if self.transport is None or self.transport.is_closing():
-            return
-        self._error(HttpError(500, "internal error"))
+        """Answer that the agent itself failed, if the connection still allows an answer."""
+        self._disconnect_request()
+        self._send_error(HttpError(500, "internal error"))
 
     def on_peer_closed(self) -> None:
-        self._leave()
-
-    def _leave(self) -> None:
-        call = self._release()
-        if call is not None:
-            self._host.handler.client_left(call)
-
-    def _release(self) -> ClientRequest | None:
-        call, self._call = self._call, None
-        if call is not None:
-            self._host.open_request_ids.discard(call.id)
-        return call
-
-    def _continue(self, request: HttpMessage) -> None:
-        wanted = request.headers.get(b"expect", b"").lower() == b"100-continue"
-        if wanted and self._reader.in_body and self._continued is not request:
-            self._continued = request
-            self.send(b"HTTP/1.1 100 Continue\r\n\r\n")
-
-    def _take(self, request: HttpMessage) -> None:
-        self._request = request
+        """Drop the request in flight; the client no longer waits for it."""
+        self._disconnect_request()
+
+    # Requests
+
+    def _read(self, data: bytes) -> None:
+        was_idle = self._reader.incomplete is None
+        messages = self._reader.feed(data)
+        incomplete, error = self._reader.incomplete, self._reader.error
+        has_more = len(messages) > 1 or incomplete is not None or error is not None
+        if messages and has_more:
+            self._send_error(_pipelining_error())
+        elif error is not None:
+            self._send_error(error)
+        elif messages:
+            self._dispatch(messages[0])
+        elif incomplete is not None:
+            if was_idle and self.has_answered:
+                self.timer_started_at = self._now()
+            self._send_continue_if_expected(incomplete)
+
+    def _send_continue_if_expected(self, message: HttpMessage) -> None:
+        """Ask once for the body of a request whose client waits for that before it sends the body."""
+        is_expected = message.headers.get(EXPECT, b"").lower() == b"100-continue"
+        if is_expected and self._reader.in_body and self._continue_sent_for is not message:
+            self._continue_sent_for = message
+            self.send(CONTINUE_RESPONSE)
+
+    def _dispatch(self, message: HttpMessage) -> None:
+        """Answer a complete request at once, or hand it to the handler."""
+        self._message = message
+        path = message.target.partition(b"?")[0]
+        if path == HEALTH_PATH:
+            self._send_response(503 if self._host.is_draining else 200, [], b"")
+        elif path != API_PATH:
+            self._send_response(404, [], b"no such path\n")
+        elif self._host.is_rejecting:
+            self._send_response(503, [], REJECTED_BODY)
+        else:
+            self._accept(message)
+
+    def _accept(self, message: HttpMessage) -> None:
+        """Hand a request to the handler, if it is valid and its client is still there."""
         try:
-            path = request.target.partition(b"?")[0]
-            if path == HEALTH:
-                return self._respond(503 if self._host.is_draining else 200, [], b"")
-            if path != API:
-                raise HttpError(404, "no such path")
-            if self._host.is_rejecting:
-                return self._respond(503, [], b"refused\n")
-            call = self._host.validator.check(request, self._answer)
-            if call.id in self._host.open_request_ids:
+            request = self._host.validator.check(message, self._on_answer)
+            if request.id in self._host.open_request_ids:
                 raise HttpError(409, "this Request-Id is open")
-        except HttpError as e:
-            return self._respond(e.status, [], f"{e}\n".encode())
-        call.client_has_left = self.peer_has_closed
+        except HttpError as error:
+            self._send_response(error.status, [], _error_body(error))
+            return
         if self.peer_has_closed():
-            return self.abort()  # it left while this waited to be read
-        self._call = call
-        self._host.open_request_ids.add(call.id)
-        self._host.handler.accept(call)
+            self.abort()  # the client disconnected while its request waited in the kernel to be read
+            return
+        request.client_has_left = self.peer_has_closed
+        self._request = request
+        self._host.open_request_ids.add(request.id)
+        self._host.handler.accept(request)
+
+    def _release_request(self) -> ClientRequest | None:
+        """End the state IN_FLIGHT; return the request that was, if any."""
+        request, self._request = self._request, None
+        if request is not None:
+            self._host.open_request_ids.discard(request.id)
+        return request
 
-    # What goes out
+    def _disconnect_request(self) -> None:
+        request = self._release_request()
+        if request is not None:
+            self._host.handler.client_left(request)
 
-    def _answer(self, call: ClientRequest, status: int, headers: Headers, body: bytes) -> None:
-        if self._call is not call:
+    # Answers
+
+    def _on_answer(self, request: ClientRequest, status: int, headers: Headers, body: bytes) -> None:
+        """Send the handler's answer; one for a request that is no longer in flight is dropped."""
+        if self._request is not request:
             return
-        self._release()
-        self._respond(status, headers, body)
-        if self._ahead:
-            self._error(HttpError(400, "one request at a time"))
-
-    def _respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """The answer to a request that came whole."""
-        if self.closed or self.transport is None or self.transport.is_closing():
+        self._release_request()
+        self._send_response(status, headers, body)
+        if self._has_pipelined_input:
+            self._send_error(_pipelining_error())
+
+    def _send_response(self, status: int, headers: Headers, body: bytes) -> None:
+        """Answer the complete request `_message`."""
+        if not self._can_send():
             return
-        request, self._request = self._request, None
-        assert request is not None
-        last = self._host.is_draining or not request.keep_alive
-        if last:
-            headers = [*headers, ("Connection", "close")]
-        self.send(encode_response(status, headers, body, request.method == b"HEAD"))
-        self.asked, self.since = True, self._now()
-        if last:
-            self.lingers = True
-            self.finish_sending()
-
-    def _error(self, e: HttpError) -> None:
-        """The answer to what is not, or not yet, a request."""
-        if self.lingers or self.closed or self.transport is None or self.transport.is_closing():
+        message, self._message = self._message, None
+        assert message is not None
+        is_last = self._host.is_draining or not message.keep_alive
+        if is_last:
+            headers = [*headers, CONNECTION_CLOSE]
+        self.send(encode_response(status, headers, body, message.method == b"HEAD"))
+        self.has_answered, self.timer_started_at = True, self._now()
+        if is_last:
+            self._linger()
+
+    def _send_error(self, error: HttpError) -> None:
+        """Answer bytes that are not, or not yet, a complete request; nothing more is read after that."""
+        if self.is_lingering or not self._can_send():
             return
-        self.send(encode_response(e.status, [("Connection", "close")], f"{e}\n".encode()))
-        self.lingers = True
-        self.since = self._now()
+        self.send(encode_response(error.status, [CONNECTION_CLOSE], _error_body(error)))
+        self.timer_started_at = self._now()
+        self._linger()
+
+    def _linger(self) -> None:
+        self.is_lingering = True
         self.finish_sending()
+
+    def _can_send(self) -> bool:
+        return not self.closed and self.transport is not None and not self.transport.is_closing()
+
+
+def _pipelining_error() -> HttpError:
+    return HttpError(400, "one request at a time")
+
+
+def _error_body(error: HttpError) -> bytes:
+    return f"{error}\n".encode()
--- a/nickelmount/agent/listener.py
+++ b/nickelmount/agent/listener.py
@@ -75,18 +75,24 @@
         """The one that has had nothing open for longest, has never said anything, or has its last answer."""
         now = self._loop.time()
         spare = sorted(
-            (c for c in self.connections if not c.asked or c.lingers or now - c.since > self._times.spare_s),
-            key=lambda c: c.since,
+            (
+                c
+                for c in self.connections
+                if not c.has_answered
+                or c.is_lingering
+                or now - c.timer_started_at > self._times.evictable_after_s
+            ),
+            key=lambda c: c.timer_started_at,
         )
-        return next((c for c in spare if c.spare or c.parted(PARTED_S)), None)
+        return next((c for c in spare if c.is_idle() or c.has_lingered(PARTED_S)), None)
 
     def _sweep(self) -> None:
         """Close or answer what has stayed as it is for too long."""
-        self._sweeping = self._loop.call_later(self._times.sweep_s, self._sweep)
+        self._sweeping = self._loop.call_later(self._times.sweep_interval_s, self._sweep)
         now = self._loop.time()
         for client in list(self.connections):
-            allowed_s = client.allowed_s(self._times)
-            if allowed_s is not None and now - client.since > allowed_s:
+            allowed_s = client.time_limit_s(self._times)
+            if allowed_s is not None and now - client.timer_started_at > allowed_s:
                 client.expire()
 
     async def shut_down(self, times: ShutdownTimes) -> None:
@@ -127,6 +133,6 @@
         now = self._loop.time()
         for client in list(self.connections):
             # One just opened is not closed on its first request: its client may count that as no answer.
-            idle = client.spare and (client.asked or now - client.since > FRESH_S)
-            if idle or client.parted(PARTED_S):
+            idle = client.is_idle() and (client.has_answered or now - client.timer_started_at > FRESH_S)
+            if idle or client.has_lingered(PARTED_S):
                 client.close()
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -178,7 +178,9 @@
     asyncio.run(run())
 
 
-SOON = ClientTimeouts(sweep_s=0.005, silent_s=0.0, unfinished_s=0.0, linger_s=0.0, spare_s=0.0)
+SOON = ClientTimeouts(
+    sweep_interval_s=0.005, first_byte_s=0.0, request_s=0.0, linger_s=0.0, evictable_after_s=0.0
+)
 
 
 @pytest.mark.parametrize(
@@ -231,7 +233,9 @@
 
 def test_beyond_the_limit_the_longest_idle_connection_makes_way(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path, most=37, times=replace(SOON, sweep_s=60.0)) as w:  # two of clients
+        async with world(
+            tmp_path, most=37, times=replace(SOON, sweep_interval_s=60.0)
+        ) as w:  # two of clients
             first, second = await w.client(), await w.client()
             assert await healthy(second)
             assert await healthy(first)
@@ -373,7 +377,7 @@
             client = await w.ask(CHUNKED + begun)
             (connection,) = w.server.connections
             sent = 0
-            while not connection.lingers and sent < 8_000_000:
+            while not connection.is_lingering and sent < 8_000_000:
                 await client.write(b"x" * 65536)
                 sent += 65536
                 await asyncio.sleep(0)
@@ -397,7 +401,7 @@
     assert connection.transport is not None
     connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     await got.answer(200, b"x" * 500_000)
-    while not connection.asked:
+    while not connection.has_answered:
         await asyncio.sleep(0)
     assert not connection.all_written
     return client, connection
@@ -418,7 +422,7 @@
 
 def test_a_client_that_never_reads_its_answer_does_not_keep_its_place_for_ever(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path, times=replace(SOON, sweep_s=0.02, kept_s=0.0)) as w:
+        async with world(tmp_path, times=replace(SOON, sweep_interval_s=0.02, keepalive_s=0.0)) as w:
             await unread(w)
             while w.server.connections:
                 await asyncio.sleep(0.001)
