--- a/nickelmount/agent/downstream.py
+++ b/nickelmount/agent/downstream.py
@@ -7,8 +7,8 @@
 - IN_FLIGHT: a complete request is with the handler, which answers it. Bytes that arrive meanwhile, but for
   line ends, are a pipelined request: they are dropped, and an error follows the answer.
 - LINGERING: the last answer was sent, with Connection: close, and the sending side is closed. What still
-  arrives is read and dropped until the client closes. Were the connection closed upon unread bytes, the kernel
-  would reset it, and the client could lose the answer.
+  arrives is read and dropped until the client closes. Were the connection closed upon unread bytes, the
+  kernel would reset it, and the client could lose the answer.
 
     IDLE -> READING -> IN_FLIGHT -> IDLE       the answer allows a further request
                        IN_FLIGHT -> LINGERING  the client asked for a close, it sent a pipelined request,
