--- a/nickelmount/agent/listener.py
+++ b/nickelmount/agent/listener.py
@@ -1,4 +1,15 @@
-"""Listens for the application: which connections may stay, and how the agent takes its leave of them."""
+"""Listens for clients: which connections are admitted, which are closed, and how the agent shuts down.
+
+Closing a connection at the wrong moment loses a request. A connection is closed for one of three reasons, if
+nothing is in flight on it and the kernel has nothing to read for it:
+
+- at the limit on connections, the one that has been idle for longest is closed for a new one;
+- a sweep at fixed intervals closes those that have exceeded the time limit of their state (ClientTimeouts);
+- a graceful shutdown closes idle connections, first once, and later as they fall idle.
+
+The sweep also answers 408 to a request that does not arrive completely, and aborts the connection of a client
+that does not read its answer or does not close after its last one.
+"""
 
 from __future__ import annotations
 
@@ -13,126 +24,178 @@
 from .downstream import ClientConnection, ClientTimeouts, RequestHandler
 from .request_validation import RequestValidator
 
-BACKLOG = 512
-ACCEPTS = 16  # at most so many in one turn of the loop, or a crowd could take all descriptors in one
-POLL_S = 0.01  # while the last requests end
-FRESH_S = 0.25  # a connection this young may be one whose first request is on its way
-PARTED_S = 0.1  # after its last answer a client is left so long to close
-FLUSH_S = 0.05  # at the end, for what was given up and for who came meanwhile
+LISTEN_BACKLOG = 512  # connections that the kernel completes ahead of their accept
+# Admission counts connections only once the event loop has made them. Without this bound a burst of clients
+# could take all descriptors in one iteration, before the first of them is refused.
+MAX_ACCEPTS_PER_ITERATION = 16
+
+# A client sends its first request right after connecting. If that request meets a close, its client may count
+# it as not answered; a later one on the same connection would be sent again.
+FIRST_REQUEST_GRACE_S = 0.25
+# A client that has read its last answer closes by itself; after this long the agent closes first.
+CLIENT_CLOSE_GRACE_S = 0.1
+
+# Graceful shutdown
+DRAIN_POLL_INTERVAL_S = 0.01  # while requests are in flight
+FLUSH_POLL_INTERVAL_S = 0.001  # while the last answers are written
+FLUSH_TIMEOUT_S = 0.05  # for these to be read, and for connections that were made meanwhile to be rejected
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownTimes:
-    """The stages of a stop, in seconds from its start."""
+    """The stages of a graceful shutdown, in seconds from its start."""
 
-    idle_s: float  # then idle connections are closed
-    serve_s: float  # until then new connections are served
-    end_s: float  # then all is over
+    close_idle_after_s: float  # until then idle connections stay, and requests on them are served
+    serve_until_s: float  # until then new connections are served, even if none is left
+    finish_by_s: float  # requests still in flight are then answered without waiting for endpoints
 
 
 class Listener:
-    """Listens for the application."""
+    """Admits connections of clients, and closes them.
+
+    Public attributes: `connections` that are admitted; `open_request_ids`, the Request-Id of each request in
+    flight. While `is_draining`, every answer is the last of its connection and the health check fails;
+    while `is_rejecting`, requests that arrive are rejected.
+    """
 
-    def __init__(self, settings: Settings, handler: RequestHandler, most: int, times: ClientTimeouts) -> None:
+    def __init__(
+        self, settings: Settings, handler: RequestHandler, max_connections: int, timeouts: ClientTimeouts
+    ) -> None:
+        """Admit up to `max_connections` at once: other descriptors are left for connections to endpoints."""
         self.handler = handler
-        self._most = most  # connections at once, so that descriptors are left for backends
-        self._times = times
-        self._loop = asyncio.get_running_loop()
-        self._sweeping: asyncio.TimerHandle | None = None
         self.validator = RequestValidator(settings.classes, settings.tenants)
         self.connections: set[ClientConnection] = set()
-        self.open_request_ids: set[bytes] = set()  # of the requests in hand
-        self.is_draining = False  # answers ask the client to close
-        self.is_rejecting = False  # and what still comes is refused
-        self._listener: asyncio.Server | None = None
-        self._socket: socket.socket | None = None
+        self.open_request_ids: set[bytes] = set()
+        self.is_draining = False
+        self.is_rejecting = False
+        self._max_connections = max_connections
+        self._timeouts = timeouts
+        self._loop = asyncio.get_running_loop()
+        self._next_sweep: asyncio.TimerHandle | None = None
+        self._server: asyncio.Server | None = None
+        self._listening_socket: socket.socket | None = None
 
     async def listen(self, address: Address) -> int:
-        """Returns the port, for an address whose port is 0."""
-        self._socket = sock = socket.create_server((address.host, address.port), backlog=BACKLOG)
-        self._listener = await self._loop.create_server(
-            lambda: ClientConnection(self, self._loop.time), sock=sock, backlog=ACCEPTS
+        """Start to accept connections; return the port, which the system picks where the address says 0.
+
+        Raises OSError where the address cannot be bound.
+        """
+        listening_socket = socket.create_server((address.host, address.port), backlog=LISTEN_BACKLOG)
+        self._listening_socket = listening_socket
+        self._server = await self._loop.create_server(
+            lambda: ClientConnection(self, self._loop.time),
+            sock=listening_socket,
+            backlog=MAX_ACCEPTS_PER_ITERATION,
         )
-        sock.listen(BACKLOG)  # asyncio's backlog is both: what waits in the kernel, and accepts in one turn
+        # asyncio uses its one backlog for the kernel's queue and for the accepts of one iteration. The queue
+        # is set again, or a burst of clients would overflow it and wait for the kernel's retransmission.
+        listening_socket.listen(LISTEN_BACKLOG)
         self._sweep()
-        return int(sock.getsockname()[1])
+        return int(listening_socket.getsockname()[1])
+
+    def close(self) -> None:
+        """Stop to accept connections, and the sweep. Connections that are admitted stay."""
+        if self._next_sweep is not None:
+            self._next_sweep.cancel()
+        if self._server is not None:
+            self._server.close()
+
+    # Admission
 
     def connection_opened(self, client: ClientConnection) -> None:
-        """One more connection. Where there is no room another makes way, or else this one."""
-        if len(self.connections) >= self._most:
-            other = self._longest_spare()
-            if other is None:
+        """Admit a new connection. At the limit an idle one is closed for it, or else the new one."""
+        if len(self.connections) >= self._max_connections:
+            evicted = self._find_evictable()
+            if evicted is None:
                 client.close()
                 return
-            other.close()
-            self.connections.discard(other)
+            evicted.close()
+            self.connections.discard(evicted)
         self.connections.add(client)
 
     def connection_closed(self, client: ClientConnection) -> None:
+        """Forget a connection that has ended."""
         self.connections.discard(client)
 
-    def _longest_spare(self) -> ClientConnection | None:
-        """The one that has had nothing open for longest, has never said anything, or has its last answer."""
+    def _find_evictable(self) -> ClientConnection | None:
+        """Return the one that has been in its state for longest, of those whose close loses nothing."""
         now = self._loop.time()
-        spare = sorted(
-            (
-                c
-                for c in self.connections
-                if not c.has_answered
-                or c.is_lingering
-                or now - c.timer_started_at > self._times.evictable_after_s
-            ),
-            key=lambda c: c.timer_started_at,
+        candidates = [client for client in self.connections if self._is_eviction_candidate(client, now)]
+        candidates.sort(key=lambda client: client.timer_started_at)
+        for client in candidates:
+            if client.is_idle() or client.has_lingered(CLIENT_CLOSE_GRACE_S):
+                return client
+        return None
+
+    def _is_eviction_candidate(self, client: ClientConnection, now: float) -> bool:
+        """Whether it may be evicted by its age; one that was used of late is likely to be used again."""
+        return (
+            not client.has_answered
+            or client.is_lingering
+            or now - client.timer_started_at > self._timeouts.evictable_after_s
         )
-        return next((c for c in spare if c.is_idle() or c.has_lingered(PARTED_S)), None)
+
+    # Time limits
 
     def _sweep(self) -> None:
-        """Close or answer what has stayed as it is for too long."""
-        self._sweeping = self._loop.call_later(self._times.sweep_interval_s, self._sweep)
+        """End the connections that have exceeded the time limit of their state, now and at intervals."""
+        self._next_sweep = self._loop.call_later(self._timeouts.sweep_interval_s, self._sweep)
         now = self._loop.time()
         for client in list(self.connections):
-            allowed_s = client.time_limit_s(self._times)
-            if allowed_s is not None and now - client.timer_started_at > allowed_s:
+            limit_s = client.time_limit_s(self._timeouts)
+            if limit_s is not None and now - client.timer_started_at > limit_s:
                 client.expire()
 
+    # Graceful shutdown
+
     async def shut_down(self, times: ShutdownTimes) -> None:
-        """Take leave of the clients: nothing that was taken is lost."""
-        loop = self._loop
-        began = loop.time()
+        """Shut down in stages; every request that was accepted is answered, unless its client disconnects.
+
+        1. Drain: answers ask clients to close their connections; idle connections stay.
+        2. Close idle connections, and go on serving new ones. A request that crosses the close of its
+           connection is sent again by its client, on a new one.
+        3. Close connections as they fall idle, until none is left, in the accept queue either, or time is up.
+        4. Reject what arrives, answer what is in flight, and let these answers be written and read.
+        5. Stop listening. It is the last step because closing the listening socket resets connections that
+           the kernel has completed and the agent has not accepted.
+        """
+        started_at = self._loop.time()
         self.is_draining = True
-        await asyncio.sleep(times.idle_s)
-        # A request that crosses this close is sent again on a new connection; these still come.
-        self._close_idle()
-        await asyncio.sleep(times.serve_s - times.idle_s)
-        while (self.connections or self._queued()) and loop.time() < began + times.end_s:
-            self._close_idle()
-            await asyncio.sleep(POLL_S)
+        await asyncio.sleep(times.close_idle_after_s)
+
+        self._close_idle_connections()
+        await asyncio.sleep(times.serve_until_s - times.close_idle_after_s)
+
+        finish_at = started_at + times.finish_by_s
+        await self._close_until_empty(finish_at, DRAIN_POLL_INTERVAL_S)
+
         self.is_rejecting = True
         self.handler.finish_all()
-        while (self.connections or self._queued()) and loop.time() < began + times.end_s + FLUSH_S:
-            self._close_idle()
-            await asyncio.sleep(POLL_S / 10)
-        # Open to the end: closing it resets what has come in and is not accepted yet.
+        await self._close_until_empty(finish_at + FLUSH_TIMEOUT_S, FLUSH_POLL_INTERVAL_S)
+
         self.close()
 
-    def close(self) -> None:
-        if self._sweeping is not None:
-            self._sweeping.cancel()
-        if self._listener is not None:
-            self._listener.close()
-
-    def _queued(self) -> bool:
-        """Whether a connection waits to be accepted."""
-        if self._socket is None or self._socket.fileno() < 0:
-            return False
-        poll = select.poll()
-        poll.register(self._socket.fileno(), select.POLLIN)
-        return bool(poll.poll(0))
+    async def _close_until_empty(self, deadline: float, poll_interval_s: float) -> None:
+        """Close connections as they fall idle, until none is left or the deadline, by the loop's clock."""
+        while (self.connections or self._has_queued_connection()) and self._loop.time() < deadline:
+            self._close_idle_connections()
+            await asyncio.sleep(poll_interval_s)
 
-    def _close_idle(self) -> None:
+    def _close_idle_connections(self) -> None:
         now = self._loop.time()
         for client in list(self.connections):
-            # One just opened is not closed on its first request: its client may count that as no answer.
-            idle = client.is_idle() and (client.has_answered or now - client.timer_started_at > FRESH_S)
-            if idle or client.has_lingered(PARTED_S):
+            if self._can_close(client, now):
                 client.close()
+
+    def _can_close(self, client: ClientConnection, now: float) -> bool:
+        """Whether a shutdown may close a connection now."""
+        is_fresh = not client.has_answered and now - client.timer_started_at <= FIRST_REQUEST_GRACE_S
+        return (client.is_idle() and not is_fresh) or client.has_lingered(CLIENT_CLOSE_GRACE_S)
+
+    def _has_queued_connection(self) -> bool:
+        """Whether a connection waits in the kernel to be accepted."""
+        if self._listening_socket is None or self._listening_socket.fileno() < 0:
+            return False
+        poll = select.poll()
+        poll.register(self._listening_socket.fileno(), select.POLLIN)
+        return bool(poll.poll(0))
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -19,7 +19,7 @@
 from tests.test_client_disconnects import Caller, listing, taken
 from tests.test_reload import Running, whole
 
-NOW = ShutdownTimes(idle_s=0.0, serve_s=0.0, end_s=30.0)
+NOW = ShutdownTimes(close_idle_after_s=0.0, serve_until_s=0.0, finish_by_s=30.0)
 
 
 async def read_all(s: socket.socket) -> bytes:
@@ -34,7 +34,7 @@
 def test_a_connection_just_opened_is_not_closed_on_its_first_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server_module, "FRESH_S", 30.0)
+    monkeypatch.setattr(server_module, "FIRST_REQUEST_GRACE_S", 30.0)
 
     async def run() -> None:
         async with world(tmp_path) as w:
@@ -55,7 +55,7 @@
 def test_one_that_says_nothing_does_not_keep_a_stop_waiting(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server_module, "FRESH_S", 0.01)
+    monkeypatch.setattr(server_module, "FIRST_REQUEST_GRACE_S", 0.01)
 
     async def run() -> None:
         async with world(tmp_path) as w:
