--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -364,7 +364,8 @@
         )
         _, err = await process.communicate()
         assert process.returncode == 2
-        assert err.startswith(b"nickelmount: ") and err.count(b"\n") == 1, err
+        assert err.startswith(b"nickelmount: "), err
+        assert err.count(b"\n") == 1, err
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
