--- a/nickelmount/agent/agent.py
+++ b/nickelmount/agent/agent.py
@@ -33,9 +33,11 @@
     RequestArrived,
     TimerFired,
 )
+from nickelmount.protocol.address import Address
+from nickelmount.protocol.endpoint_list import EndpointList
 
 from .clock import Clock
-from .discovery import Address, DiscoveryClient, EndpointList
+from .discovery_client import DiscoveryClient
 from .http import Headers
 from .request_validation import ClientRequest
 from .upstream import Exchange, ExchangeResult, Upstream, UpstreamRequest
--- a/nickelmount/agent/config.py
+++ b/nickelmount/agent/config.py
@@ -9,11 +9,13 @@
 from typing import Any
 
 from nickelmount.balancer.settings import DiscoveryMode, Settings
-from nickelmount.errors import ConfigurationError, SettingsError
+from nickelmount.errors import ConfigurationError, EndpointListError, SettingsError
+from nickelmount.protocol.address import Address, parse_address
+from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser
 from nickelmount.protocol.settings import settings_from
 
 from .clock import Clock
-from .discovery import ANSWER_S, Address, EndpointList, EndpointListParser, parse_address
+from .discovery_client import CALL_TIMEOUT_S
 
 TOLD_US = 6_000_000  # on sockets, what discovery has to tell counts as told so much later
 
@@ -45,7 +47,7 @@
         return config_from(doc, env, clock)
     except KeyError as e:
         raise ConfigurationError(f"RELAY_CONFIG: {e} is missing") from None
-    except (TypeError, AttributeError, ValueError, OverflowError, SettingsError) as e:
+    except (TypeError, AttributeError, ValueError, OverflowError, SettingsError, EndpointListError) as e:
         raise ConfigurationError(f"RELAY_CONFIG: {e}") from None
 
 
@@ -58,7 +60,7 @@
     """The configuration in a document as RELAY_CONFIG's file holds it; raises what its first fault raises."""
     facts = doc["settings"]
     allowed = facts["allowed"]
-    parser = EndpointListParser(clock, tuple(facts.get("localities") or ()), tuple(facts.get("skus") or ()))
+    parser = EndpointListParser(clock, tuple(facts.get("localities") or ()))
     settings = settings_from(facts)
     told_us = min(settings.notified_after_us, TOLD_US)
     return Config(
@@ -79,7 +81,7 @@
             discovery_mode=DiscoveryMode.POLL,
             discovery_is_local=settings.discovery_mode is DiscoveryMode.PUSH,
             notified_after_us=told_us,
-            list_call_timeout_us=min(int(ANSWER_S * 1e6), told_us // 3),
+            list_call_timeout_us=min(int(CALL_TIMEOUT_S * 1e6), told_us // 3),
         ),
         connect_timeout_us=int(allowed["connectTimeoutUs"]),
         idle_timeout_us=int(allowed["connIdleUs"]),
--- a/nickelmount/agent/connection_pool.py
+++ b/nickelmount/agent/connection_pool.py
@@ -8,10 +8,10 @@
 from httptools import HttpResponseParser
 
 from nickelmount.balancer.events import EndpointId
+from nickelmount.protocol.endpoint_list import ListedEndpoint
 
 from .clock import Clock
 from .connection import Connection
-from .discovery import ListedEndpoint
 from .http import HttpMessage, HttpReader
 
 IDLE_SHARE = 0.7  # of the time after which a backend closes an idle connection; then it is retired here
--- a/nickelmount/agent/lifecycle.py
+++ b/nickelmount/agent/lifecycle.py
@@ -20,7 +20,7 @@
 from .clock import Clock
 from .config import Config, load, reload
 from .connection_pool import REST_US, ConnectionPool
-from .discovery import LOCAL_WAIT_MS, WAIT_MS, DiscoveryClient
+from .discovery_client import LOCAL_LONG_POLL_MS, SHARED_LONG_POLL_MS, DiscoveryClient
 from .downstream import ClientTimeouts
 from .listener import Listener, ShutdownTimes
 from .upstream import Upstream
@@ -47,7 +47,7 @@
         config.list_parser,
         config.known_list.revision,
         config.connect_timeout_us / 1e6,
-        LOCAL_WAIT_MS if settings.discovery_is_local else WAIT_MS,
+        LOCAL_LONG_POLL_MS if settings.discovery_is_local else SHARED_LONG_POLL_MS,
         None if settings.discovery_is_local else Random(config.seed),
     )
     agent = Agent(Balancer(settings, config.seed), clock, backends, discovery)
--- a/nickelmount/agent/listener.py
+++ b/nickelmount/agent/listener.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from nickelmount.balancer.settings import Settings
+from nickelmount.protocol.address import Address
 
-from .discovery import Address
 from .downstream import ClientConnection, ClientTimeouts, RequestHandler
 from .request_validation import RequestValidator
 
--- a/nickelmount/agent/upstream.py
+++ b/nickelmount/agent/upstream.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, replace
 
 from nickelmount.balancer.events import Endpoint, EndpointId, EndpointStatus, Outcome
+from nickelmount.protocol.endpoint_list import EndpointList, ListedEndpoint
 
 from .clock import Clock
 from .connection_pool import ConnectionPool, PooledConnection
-from .discovery import EndpointList, ListedEndpoint
 from .http import HttpMessage, encode_request
 
 log = logging.getLogger(__name__)
--- a/nickelmount/fleet/emulated_discovery.py
+++ b/nickelmount/fleet/emulated_discovery.py
@@ -17,9 +17,9 @@
 from httptools import HttpRequestParser
 
 from nickelmount.agent.connection import Connection
-from nickelmount.agent.discovery import PATH
 from nickelmount.agent.http import HttpMessage, HttpReader, encode_response
 from nickelmount.errors import HttpError
+from nickelmount.protocol.http_names import ENDPOINT_LIST_PATH
 
 from .catalog import Catalog, Phase, Where, generate, pick
 from .role import Command, run, serve, usage
@@ -436,7 +436,7 @@
 def _asked(request: HttpMessage) -> tuple[int | None, int]:
     """The index and the wait in milliseconds of a watch; None and 0 of a call for the whole list."""
     path, mark, query = request.target.partition(b"?")
-    if path != PATH.encode():
+    if path != ENDPOINT_LIST_PATH.encode():
         raise HttpError(404, "no such path")
     if request.method != b"GET":
         raise HttpError(400, "no such method")
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -20,15 +20,14 @@
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.config import Config, config_from
 from nickelmount.agent.connection_pool import ConnectionPool
-from nickelmount.agent.discovery import (
-    LOCAL_WAIT_MS,
-    WAIT_MS,
+from nickelmount.agent.discovery_client import (
+    LOCAL_LONG_POLL_MS,
+    SHARED_LONG_POLL_MS,
     DiscoveryClient,
-    EndpointList,
-    EndpointListParser,
 )
 from nickelmount.agent.upstream import Upstream
 from nickelmount.balancer.balancer import Balancer
+from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser
 
 from .role import run, serve, usage
 
@@ -97,7 +96,7 @@
             config.list_parser,
             config.known_list.revision,
             config.connect_timeout_us / 1e6,
-            LOCAL_WAIT_MS if hand else WAIT_MS,
+            LOCAL_LONG_POLL_MS if hand else SHARED_LONG_POLL_MS,
             None if hand else Random(seed),
         )
         pool = ConnectionPool(self._clock, config.connect_timeout_us, config.idle_timeout_us, CONNECTIONS)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,10 +14,10 @@
 from nickelmount.agent.agent import Agent
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.config import Config, load
-from nickelmount.agent.discovery import Address
 from nickelmount.agent.downstream import ClientTimeouts
 from nickelmount.agent.lifecycle import assemble
 from nickelmount.agent.listener import Listener
+from nickelmount.protocol.address import Address
 
 KEYED, UNSAFE = "registro-servicio", "vale-almacen"
 LOAD = b"inflight=0,queue=0,util=0.1"
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -9,9 +9,9 @@
 import pytest
 
 from nickelmount.agent.connection_pool import ConnectionPool, PooledConnection
-from nickelmount.agent.discovery import ListedEndpoint
 from nickelmount.balancer.balancer import Balancer
 from nickelmount.balancer.events import Event, RequestArrived
+from nickelmount.protocol.endpoint_list import ListedEndpoint
 from tests.loopback import KEYED, UNSAFE, World, post, world
 
 
--- a/tests/test_balancer_fleet.py
+++ b/tests/test_balancer_fleet.py
@@ -11,7 +11,7 @@
 import pytest
 
 from nickelmount.agent.clock import Clock
-from nickelmount.agent.discovery import ANSWER_S, LATE_S
+from nickelmount.agent.discovery_client import CALL_TIMEOUT_S, LONG_POLL_GRACE_S
 from nickelmount.agent.lifecycle import assemble
 from nickelmount.balancer.actions import SendAttempt, WatchEndpoints
 from nickelmount.balancer.events import Endpoint, ListUpdateKind, Outcome, RequestArrived, TimerFired
@@ -175,7 +175,7 @@
             assert only(d.wait(9 * SECOND), WatchEndpoints)
 
 
-TOLD_US, CALL_US = 6 * SECOND, int(ANSWER_S * SECOND)  # as the agent on sockets sets them
+TOLD_US, CALL_US = 6 * SECOND, int(CALL_TIMEOUT_S * SECOND)  # as the agent on sockets sets them
 
 
 def next_call(d: Drive) -> int:
@@ -376,7 +376,7 @@
         # One that falls silent is to be found so and opened anew before 6 s are over.
         wait_s = int(first.partition("&wait=")[2].split()[0]) / 1000
         assert first.startswith("GET /catalog/members?index=41&")
-        assert 0 < wait_s + LATE_S < 5
+        assert 0 < wait_s + LONG_POLL_GRACE_S < 5
         await peer.stop()
 
     asyncio.run(run())
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -13,9 +13,9 @@
 import pytest
 
 from nickelmount.agent.clock import Clock
-from nickelmount.agent.discovery import EndpointList, EndpointListParser
 from nickelmount.agent.downstream import ClientConnection
 from nickelmount.balancer.events import TimerFired
+from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser
 from tests.loopback import KEYED, LOAD, UNSAFE, Conversation, Message, Peer, World, member, post, world
 
 
@@ -42,7 +42,7 @@
 
 def listing(*peers: Peer) -> EndpointList:
     members = [member(f"s{i}", p.port) for i, p in enumerate(peers)]
-    parser = EndpointListParser(Clock(), ("a",), ("m",))
+    parser = EndpointListParser(Clock(), ("a",))
     return parser.parse({"revision": 42, "complete": True, "members": members})
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,17 +11,14 @@
 
 import pytest
 
-from nickelmount.agent import discovery as discovery_module
+from nickelmount.agent import discovery_client as discovery_module
 from nickelmount.agent.clock import Clock
-from nickelmount.agent.discovery import (
-    ANSWER_BYTES,
-    Address,
-    DiscoveryClient,
-    EndpointList,
-    EndpointListParser,
-)
+from nickelmount.agent.discovery_client import DiscoveryClient
+from nickelmount.agent.discovery_connection import MAX_ANSWER_BYTES
 from nickelmount.agent.lifecycle import assemble
 from nickelmount.balancer.events import EndpointStatus
+from nickelmount.protocol.address import Address
+from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser
 from tests.loopback import Peer, config_doc, load_config, member, post, world
 
 
@@ -30,7 +27,7 @@
 
 
 def asks(peer: Peer, wait_ms: int = 20_000) -> DiscoveryClient:
-    parser = EndpointListParser(Clock(), ("a",), ("m",))
+    parser = EndpointListParser(Clock(), ("a",))
     return DiscoveryClient(Address("127.0.0.1", peer.port), parser, 41, 9.0, wait_ms)
 
 
@@ -133,7 +130,7 @@
 
 
 def test_a_watch_that_is_silent_again_when_opened_anew_has_broken(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_module, "ANSWER_S", 0.05)
+    monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.05)
 
     async def run() -> None:
         peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
@@ -151,7 +148,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Begun within an outage it may be silent for good: it was found so after up to 20.5 s, told or not.
-    monkeypatch.setattr(discovery_module, "ANSWER_S", 0.05)
+    monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.05)
 
     async def run() -> None:
         async with world(tmp_path, backends=0) as w:
@@ -174,7 +171,7 @@
 def test_a_connection_to_discovery_that_does_not_come_up_is_given_up_whatever_the_settings_allow(
     monkeypatch: pytest.MonkeyPatch, revision: int | None
 ) -> None:
-    monkeypatch.setattr(discovery_module, "ANSWER_S", 0.05)
+    monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.05)
 
     async def run() -> None:
         with socket.socket() as full, contextlib.ExitStack() as kept:
@@ -185,8 +182,8 @@
                 s.setblocking(False)
                 s.connect_ex(full.getsockname())
             told = asyncio.Queue[EndpointList | None]()
-            parser = EndpointListParser(Clock(), ("a",), ("m",))
-            discovery = DiscoveryClient(Address(*full.getsockname()), parser, 0, connect_s=60.0)
+            parser = EndpointListParser(Clock(), ("a",))
+            discovery = DiscoveryClient(Address(*full.getsockname()), parser, 0, connect_timeout_s=60.0)
             discovery._revision = revision
             discovery.watch(told.put_nowait)
             async with asyncio.timeout(5):
@@ -282,10 +279,10 @@
 
 
 def test_a_list_of_thousands_is_read_whole() -> None:
-    parser = EndpointListParser(Clock(), ("a",), ("m",))
+    parser = EndpointListParser(Clock(), ("a",))
     members = [member(f"s-{i:08x}", 1 + i % 60000) for i in range(5000)]
     text = body(42, members, complete=True)
-    assert len(text) < ANSWER_BYTES
+    assert len(text) < MAX_ANSWER_BYTES
     assert len({m.endpoint.id for m in parser.parse(json.loads(text)).entries}) == 5000
 
 
--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -13,18 +13,15 @@
 
 import pytest
 
-from nickelmount.agent import discovery as discovery_module
+from nickelmount.agent import discovery_client as discovery_module
 from nickelmount.agent.clock import Clock
-from nickelmount.agent.discovery import (
-    Address,
-    DiscoveryClient,
-    EndpointList,
-    EndpointListParser,
-    ListedEndpoint,
-)
+from nickelmount.agent.discovery_client import DiscoveryClient
+from nickelmount.agent.discovery_connection import DiscoveryConnection
 from nickelmount.balancer.events import EndpointStatus
 from nickelmount.fleet import emulated_discovery as standin_module
 from nickelmount.fleet.emulated_discovery import SEND_BUFFER, Standin
+from nickelmount.protocol.address import Address
+from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser, ListedEndpoint
 
 LOCALITIES = ("r0-z0", "r0-z1", "r1-z0", "r1-z1")
 CLOCK = Clock()  # one, so that the same start is the same time to all
@@ -47,7 +44,7 @@
     """What an agent knows of the list."""
 
     def __init__(self, port: int, wait_ms: int = 20_000) -> None:
-        parser = EndpointListParser(CLOCK, LOCALITIES, ("fast-1c", "mid-1c", "slow-1c"))
+        parser = EndpointListParser(CLOCK, LOCALITIES)
         self.discovery = DiscoveryClient(Address("127.0.0.1", port), parser, 0, 9.0, wait_ms)
         self.known: dict[object, ListedEndpoint] = {}
         self.told = asyncio.Queue[EndpointList | None]()
@@ -156,8 +153,8 @@
 def test_a_watch_opened_in_silence_is_reset_at_its_end(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(discovery_module, "LATE_S", 0.05)
-    monkeypatch.setattr(discovery_module, "ANSWER_S", 50.0)
+    monkeypatch.setattr(discovery_module, "LONG_POLL_GRACE_S", 0.05)
+    monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 50.0)
 
     async def run() -> None:
         async with standing() as (standin, port):
@@ -165,13 +162,13 @@
             await agent.knows(1)
             await standin.begin_outage("silent")
             connected = asyncio.Event()
-            connection_made = discovery_module._DiscoveryConnection.connection_made
+            connection_made = DiscoveryConnection.connection_made
 
-            def made(call: discovery_module._DiscoveryConnection, transport: asyncio.BaseTransport) -> None:
+            def made(call: DiscoveryConnection, transport: asyncio.BaseTransport) -> None:
                 connection_made(call, transport)
                 connected.set()
 
-            monkeypatch.setattr(discovery_module._DiscoveryConnection, "connection_made", made)
+            monkeypatch.setattr(DiscoveryConnection, "connection_made", made)
             await connected.wait()  # the kernel alone has taken it
             await standin.change("DRAINING", where="region", seed=3)
             await standin.end_outage()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,7 +14,7 @@
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.config import config_from
 from nickelmount.agent.connection_pool import ConnectionPool
-from nickelmount.agent.discovery import Address, DiscoveryClient, EndpointList, EndpointListParser
+from nickelmount.agent.discovery_client import DiscoveryClient
 from nickelmount.agent.upstream import Upstream
 from nickelmount.balancer.balancer import Balancer, ColdBudget
 from nickelmount.balancer.events import (
@@ -28,6 +28,8 @@
 from nickelmount.fleet.emulated_discovery import Standin
 from nickelmount.fleet.experiment import Agents, Experiment
 from nickelmount.fleet.hollow_agents import Hollow
+from nickelmount.protocol.address import Address
+from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser
 from tests.balancer_driver import SAFE, SECOND, Drive
 from tests.loopback import Peer, member
 
@@ -128,7 +130,7 @@
 
 
 def parser() -> EndpointListParser:
-    return EndpointListParser(CLOCK, ("a", "b"), ("m",))
+    return EndpointListParser(CLOCK, ("a", "b"))
 
 
 def backends() -> Upstream:
@@ -160,9 +162,9 @@
     after = read.parse(whole(2, entries(member("s3", 9003, "DRAINING"), count=150))).entries
     assert [m for m in after if m not in before] == [after[3]]
     assert all(new is old for new, old in zip(after, before, strict=False) if new is not after[3])
-    assert len(read._read) == 150
+    assert read.cached_entry_count == 150
     read.parse({"revision": 3, "complete": False, "members": [member("s7", 9007, "DELETED")]})
-    assert len(read._read) == 149
+    assert read.cached_entry_count == 149
     broken = {**member("s8", 9000), "size": float("nan")}
     told = read.parse(whole(4, entries(broken)))  # was well before: what is wrong with it now counts
     assert [m.endpoint.status for m in told.entries if m.endpoint.id == "s8"] == [EndpointStatus.REMOVED]
@@ -179,7 +181,7 @@
                 await asyncio.sleep(0)
 
         meanwhile = asyncio.create_task(others())
-        listing = await parser().parse_aside(doc)
+        listing = await parser().parse_in_slices(doc)
         meanwhile.cancel()
         assert turns > 90
         assert listing == parser().parse(doc)
@@ -194,7 +196,8 @@
     """A Discovery that watches a scripted peer."""
 
     def __init__(self, peer: Peer, revision: int) -> None:
-        self.discovery = DiscoveryClient(Address("127.0.0.1", peer.port), parser(), revision, 9.0)
+        self.parser = parser()
+        self.discovery = DiscoveryClient(Address("127.0.0.1", peer.port), self.parser, revision, 9.0)
         self.told: list[EndpointList | None] = []
 
     def watch(self) -> None:
@@ -212,10 +215,9 @@
         there = Told(old, 41)
         there.watch()
         await (await old.requests.get()).answer(200, json.dumps(whole(50, entries(count=LARGE))).encode())
-        reading = there.discovery._parser._read
-        await turns(lambda: len(reading) > 100)
+        await turns(lambda: there.parser.cached_entry_count > 100)
         assert not there.told
-        assert len(reading) < LARGE
+        assert there.parser.cached_entry_count < LARGE
         there.discovery.change_address(Address("127.0.0.1", new.port), there.told.append)
         request = await new.requests.get()
         assert request.first.startswith("GET /catalog/members HTTP")
@@ -238,7 +240,7 @@
         there.discovery.fetch(there.told.append)
         fetch = await peer.requests.get()
         await watch.answer(200, json.dumps(whole(50, entries(count=LARGE))).encode())
-        await turns(lambda: len(there.discovery._parser._read) > 100)  # it is being read
+        await turns(lambda: there.parser.cached_entry_count > 100)  # it is being read
         await fetch.answer(200, json.dumps(whole(51, entries(count=5))).encode())
         await turns(lambda: None in there.told)
         assert [t and (t.revision, len(t.entries)) for t in there.told] == [(51, 5), None]
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -13,14 +13,14 @@
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.connection import Connection
 from nickelmount.agent.connection_pool import PooledConnection
-from nickelmount.agent.discovery import EndpointList, EndpointListParser
+from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser
 from tests.loopback import LOAD, UNSAFE, Message, Peer, World, member, post, world
 
 DONE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
 
 def listing(*members: dict[str, object], complete: bool = False) -> EndpointList:
-    parser = EndpointListParser(Clock(), ("a",), ("m",))
+    parser = EndpointListParser(Clock(), ("a",))
     return parser.parse({"revision": 42, "complete": complete, "members": list(members)})
 
 
@@ -258,7 +258,7 @@
             await late.up.wait()
             other = member("s0", w.backends[0].port) | {where: {"locality": "b", "cell": 2}[where]}
             w.agent._listed(
-                EndpointListParser(Clock(), ("a", "b"), ("m",)).parse(
+                EndpointListParser(Clock(), ("a", "b")).parse(
                     {"revision": 42, "complete": False, "members": [other]}
                 )
             )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,7 +8,7 @@
 import pytest
 
 from nickelmount.agent.clock import Clock
-from nickelmount.agent.discovery import ANSWER_S
+from nickelmount.agent.discovery_client import CALL_TIMEOUT_S
 from nickelmount.balancer.actions import FailRequest, RejectRequest, SendAttempt, WatchEndpoints
 from nickelmount.balancer.events import (
     ClientDisconnected,
@@ -156,4 +156,4 @@
     doc["settings"]["rules"]["askWithinUs"] = within_us
     settings = load_config(tmp_path, doc, Clock()).settings
     assert settings.notified_after_us == told_us
-    assert settings.list_call_timeout_us == min(int(ANSWER_S * SECOND), told_us // 3)
+    assert settings.list_call_timeout_us == min(int(CALL_TIMEOUT_S * SECOND), told_us // 3)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -13,9 +13,9 @@
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.connection import Connection
 from nickelmount.agent.connection_pool import ConnectionPool
-from nickelmount.agent.discovery import EndpointList, EndpointListParser
 from nickelmount.agent.upstream import ExchangeResult, Upstream, UpstreamRequest, parse_report
 from nickelmount.balancer.events import Outcome
+from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser
 from tests.loopback import Message, Peer, member
 
 FIELDS = ("inflight", "queue", "util")
@@ -24,7 +24,7 @@
 
 
 def listing(port: int, phase: str = "SERVING", up: int = 0) -> EndpointList:
-    parser = EndpointListParser(CLOCK, ("a",), ("m",))
+    parser = EndpointListParser(CLOCK, ("a",))
     return parser.parse({"revision": 1, "complete": False, "members": [member("s", port, phase, up)]})
 
 
@@ -363,7 +363,7 @@
         b = backends(peer.port, most=1)
         message = await served(b, peer)
         b.apply(
-            EndpointListParser(CLOCK, (), ()).parse(
+            EndpointListParser(CLOCK, ()).parse(
                 {"revision": 2, "complete": False, "members": [member("t", other.port)]}
             )
         )
