--- a/nickelmount/agent/clock.py
+++ b/nickelmount/agent/clock.py
@@ -1,4 +1,4 @@
-"""The one clock: monotonic, in integer microseconds."""
+"""The one clock of an agent: monotonic, in integer microseconds."""
 
 from __future__ import annotations
 
@@ -6,16 +6,20 @@
 
 
 class Clock:
-    """Monotonic time, and wall-clock times put on it with one offset."""
+    """Monotonic time, and Unix times translated to it with one fixed offset."""
 
     def __init__(self) -> None:
-        # Fixed at start: were it taken anew, a step of the wall clock would make one start time look like
-        # two, and the module would take a running backend for a new process.
-        self._offset = time.monotonic_ns() // 1000 - time.time_ns() // 1000
+        # Fixed at the start. If it were computed again after a step of the wall clock, one start time of an
+        # endpoint would translate to two, and the balancer would take the running process for a new one.
+        self._offset_us = time.monotonic_ns() // 1000 - time.time_ns() // 1000
 
     def now(self) -> int:
+        """Monotonic time in microseconds."""
         return time.monotonic_ns() // 1000
 
     def from_unix_ms(self, ms: int) -> int:
-        """The same value always gives the same time; 0 (long ago) stays 0, and nothing else becomes 0."""
-        return (ms * 1000 + self._offset or 1) if ms else 0
+        """A Unix time in milliseconds as monotonic time in microseconds.
+
+        The same value always gives the same time. 0 stands for long ago and stays 0; no other value gives 0.
+        """
+        return (ms * 1000 + self._offset_us or 1) if ms else 0
