--- /dev/null
+++ b/nickelmount/agent/assembly.py
@@ -0,0 +1,91 @@
+"""The parts of an agent, put together from its configuration. Nothing here starts anything.
+
+Listener -> Agent -> Balancer          decides
+                  -> Upstream          sends to endpoints, over a ConnectionPool
+                  -> DiscoveryClient   keeps the endpoint list up to date
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from random import Random
+from typing import TypeVar
+
+from nickelmount.balancer.balancer import Balancer
+from nickelmount.protocol.address import Address
+from nickelmount.protocol.endpoint_list import EndpointListParser
+
+from .agent import Agent
+from .clock import Clock
+from .config import Config
+from .connection_pool import REST_US, ConnectionPool
+from .discovery_client import LOCAL_LONG_POLL_MS, SHARED_LONG_POLL_MS, DiscoveryClient
+from .downstream import ClientTimeouts
+from .listener import Listener
+from .upstream import Upstream
+
+# File descriptors for discovery, the listening socket, the log and the event loop, and for the connections
+# that are accepted in one turn of the loop before any can be closed.
+RESERVED_DESCRIPTORS = 32
+# Of the other descriptors, how many may be connections of clients. A request in flight takes one of these and
+# one to an endpoint; clients also hold idle connections, so that their share is the larger one.
+CLIENT_CONNECTION_SHARE = 0.55
+
+Client = TypeVar("Client", bound=DiscoveryClient)
+
+
+def assemble(
+    config: Config, clock: Clock, times: ClientTimeouts | None = None, rest_us: int = REST_US
+) -> tuple[Agent, Listener]:
+    """An agent and its listener; needs a running event loop.
+
+    `rest_us` is how long a connection to an endpoint rests between two requests.
+    """
+    max_connections = max(2, config.max_sockets - RESERVED_DESCRIPTORS)
+    max_client_connections = max(1, int(CLIENT_CONNECTION_SHARE * max_connections))
+    agent = build_agent(config, clock, max_connections - max_client_connections, rest_us)
+    listener = Listener(config.settings, agent, max_client_connections, times or ClientTimeouts())
+    return agent, listener
+
+
+def build_agent(
+    config: Config,
+    clock: Clock,
+    max_upstream_connections: int,
+    rest_us: int = REST_US,
+    discovery_client: DiscoveryClient | None = None,
+) -> Agent:
+    """An agent without a listener; needs a running event loop.
+
+    Without `discovery_client` it gets one as build_discovery_client makes it.
+    """
+    upstream = build_upstream(config, clock, max_upstream_connections, rest_us)
+    if discovery_client is None:
+        discovery_client = build_discovery_client(config, DiscoveryClient)
+    return Agent(Balancer(config.settings, config.seed), clock, upstream, discovery_client)
+
+
+def build_upstream(
+    config: Config, clock: Clock, max_upstream_connections: int, rest_us: int = REST_US
+) -> Upstream:
+    """The side of an agent that faces the endpoints."""
+    pool = ConnectionPool(
+        clock, config.connect_timeout_us, config.idle_timeout_us, max_upstream_connections, rest_us
+    )
+    return Upstream(clock, config.settings.load_report_fields, pool)
+
+
+def build_discovery_client(
+    config: Config,
+    make_client: Callable[[Address, EndpointListParser, int, float, int, Random | None], Client],
+) -> Client:
+    """A client of the discovery that the configuration names; `make_client` is its class, or makes one."""
+    is_local = config.settings.discovery_is_local
+    return make_client(
+        config.discovery,
+        config.list_parser,
+        config.known_list.revision,
+        config.connect_timeout_us / 1e6,
+        LOCAL_LONG_POLL_MS if is_local else SHARED_LONG_POLL_MS,
+        None if is_local else Random(config.seed),
+    )
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from nickelmount.agent.agent import Agent
+from nickelmount.agent.assembly import assemble
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.config import Config, load
 from nickelmount.agent.downstream import ClientTimeouts
-from nickelmount.agent.lifecycle import assemble
 from nickelmount.agent.listener import Listener
 from nickelmount.protocol.address import Address
 
--- a/tests/test_balancer_fleet.py
+++ b/tests/test_balancer_fleet.py
@@ -10,9 +10,9 @@
 
 import pytest
 
+from nickelmount.agent.assembly import assemble
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.discovery_client import CALL_TIMEOUT_S, LONG_POLL_GRACE_S
-from nickelmount.agent.lifecycle import assemble
 from nickelmount.balancer.actions import SendAttempt, WatchEndpoints
 from nickelmount.balancer.events import Endpoint, ListUpdateKind, Outcome, RequestArrived, TimerFired
 from nickelmount.balancer.settings import DiscoveryMode, Idempotency, RequestClass
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,10 +12,10 @@
 import pytest
 
 from nickelmount.agent import discovery_client as discovery_module
+from nickelmount.agent.assembly import assemble
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.discovery_client import DiscoveryClient
 from nickelmount.agent.discovery_connection import MAX_ANSWER_BYTES
-from nickelmount.agent.lifecycle import assemble
 from nickelmount.balancer.events import EndpointStatus
 from nickelmount.protocol.address import Address
 from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser
