--- a/nickelmount/agent/discovery_client.py
+++ b/nickelmount/agent/discovery_client.py
@@ -49,12 +49,12 @@
         self,
         address: Address,
         parser: EndpointListParser,
-        revision: int,
+        revision: int | None,
         connect_timeout_s: float,
         long_poll_ms: int = SHARED_LONG_POLL_MS,
         wait_random: Random | None = None,
     ) -> None:
-        """`revision` is that of the list which is held at the start.
+        """`revision` is that of the list which is held at the start; None: no list is held.
 
         `wait_random` is given where all agents share discovery; each long poll then draws its wait from it.
         A change ends the calls of all agents at once. With equal waits, all of these watches would fall
@@ -64,7 +64,7 @@
         self._address, self._parser = address, parser
         self._connect_timeout_s, self._long_poll_ms = connect_timeout_s, long_poll_ms
         self._wait_random = wait_random
-        self._revision: int | None = revision  # None: the next call asks for the complete list
+        self._revision = revision  # None: the next call asks for the complete list
         # The next call does not wait for a change: what was missed arrives at once, and silence shows soon.
         self._poll_immediately = False
         self._watching: asyncio.Task[None] | None = None
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The list of backends: the watch goes on, breaks once, and is never believed when it makes no sense."""
+"""Discovery: the watch goes on, fails once, and an answer that makes no sense is never believed."""
 
 from __future__ import annotations
 
@@ -6,66 +6,138 @@
 import contextlib
 import json
 import socket
+from collections.abc import AsyncIterator
 from pathlib import Path
 from typing import Any
 
 import pytest
 
-from nickelmount.agent import discovery_client as discovery_module
+from nickelmount.agent import discovery_client as discovery_client_module
 from nickelmount.agent.assembly import assemble
 from nickelmount.agent.clock import Clock
-from nickelmount.agent.discovery_client import DiscoveryClient
-from nickelmount.agent.discovery_connection import MAX_ANSWER_BYTES
+from nickelmount.agent.discovery_client import SHARED_LONG_POLL_MS, DiscoveryClient
 from nickelmount.balancer.events import EndpointStatus
 from nickelmount.protocol.address import Address
 from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser
-from tests.loopback import Peer, config_doc, load_config, member, post, world
+from tests.async_test import async_test
+from tests.loopback import Message, Peer, config_doc, load_config, member, post, world
+
+KNOWN_REVISION = 41
+COMPLETE_LIST_CALL = "GET /catalog/members HTTP/1.1"
+FLEET_SIZE = 6300
+GOOD_ENTRY = member("s", 9)
 
 
 def body(revision: int, members: list[dict[str, Any]], complete: bool = False) -> bytes:
     return json.dumps({"revision": revision, "complete": complete, "members": members}).encode()
 
 
-def asks(peer: Peer, wait_ms: int = 20_000) -> DiscoveryClient:
-    parser = EndpointListParser(Clock(), ("a",))
-    return DiscoveryClient(Address("127.0.0.1", peer.port), parser, 41, 9.0, wait_ms)
+def fleet(count: int) -> list[dict[str, Any]]:
+    return [member(f"s{i}", 9000 + i % 8) for i in range(count)]
+
+
+class Watched:
+    """A client of discovery, the scripted discovery that it calls, and what the client has reported."""
+
+    def __init__(self, discovery: Peer, long_poll_ms: int) -> None:
+        self.discovery = discovery
+        self.parser = EndpointListParser(Clock(), ("a",))
+        self.client = DiscoveryClient(address_of(discovery), self.parser, KNOWN_REVISION, 9.0, long_poll_ms)
+        self.reports = asyncio.Queue[EndpointList | None]()
+
+    def watch(self) -> None:
+        self.client.watch(self.reports.put_nowait)
+
+    def fetch(self) -> None:
+        self.client.fetch(self.reports.put_nowait)
+
+    def change_address(self, address: Address) -> None:
+        self.client.change_address(address, self.reports.put_nowait)
+
+    async def call(self) -> Message:
+        """The next call that reaches discovery."""
+        return await self.discovery.requests.get()
+
+    async def reported_list(self) -> EndpointList:
+        """The next report, which must not be that of a failure."""
+        endpoint_list = await self.reports.get()
+        assert endpoint_list is not None
+        return endpoint_list
+
+    async def until_reading(self, entries: int) -> None:
+        """Wait until so many entries of a large list have been read."""
+        while self.parser.cached_entry_count <= entries:
+            await asyncio.sleep(0)
 
 
-def test_the_same_start_is_always_the_same_time() -> None:
-    clock = Clock()
-    assert clock.from_unix_ms(0) == 0
-    assert clock.from_unix_ms(1_700_000_000_123) == clock.from_unix_ms(1_700_000_000_123) != 0
-    assert clock.from_unix_ms(1_700_000_001_000) - clock.from_unix_ms(1_700_000_000_000) == 1_000_000
+def address_of(peer: Peer) -> Address:
+    return Address("127.0.0.1", peer.port)
 
 
-def test_a_watch_goes_on_on_one_connection_and_tells_changes_only() -> None:
-    async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
-        discovery = asks(peer)
-        discovery.watch(told.put_nowait)
-        for revision, members in ((42, []), (43, [member("s", 9)])):
-            call = await peer.requests.get()
+@contextlib.asynccontextmanager
+async def watched(long_poll_ms: int = SHARED_LONG_POLL_MS) -> AsyncIterator[Watched]:
+    """A watch that has begun."""
+    discovery = await Peer().start()
+    watched = Watched(discovery, long_poll_ms)
+    watched.watch()
+    yield watched
+    await discovery.stop()
+
+
+@pytest.fixture
+def short_call_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(discovery_client_module, "CALL_TIMEOUT_S", 0.05)
+
+
+# The way of a watch
+
+
+@async_test()
+async def test_a_watch_keeps_its_connection_and_reports_changes_only() -> None:
+    async with watched() as w:
+        for revision, members in ((42, []), (43, [GOOD_ENTRY])):
+            call = await w.call()
             assert f"index={revision - 1}&wait=" in call.first
             await call.answer(200, body(revision, members))
-        listing = await told.get()
-        assert listing is not None
-        assert listing.revision == 43
-        assert listing.entries[0].endpoint.id == "s"
-        call = await peer.requests.get()
+        reported = await w.reported_list()
+        assert reported.revision == 43
+        assert reported.entries[0].endpoint.id == "s"
+        call = await w.call()
         assert "index=43&" in call.first
-        assert peer.connections == 1
-        assert told.empty()
-        discovery.watch(told.put_nowait)  # asked again while it goes on: no second call
+        assert w.discovery.connections == 1
+        assert w.reports.empty()
+        w.watch()  # while a watch runs: no second call
         await call.answer(503, b"")
-        assert await told.get() is None
-        assert peer.requests.empty()
-        assert told.empty()
-        await peer.stop()
+        assert await w.reports.get() is None
+        assert w.discovery.requests.empty()
+        assert w.reports.empty()
+
+
+@async_test()
+async def test_a_connection_that_discovery_closes_is_replaced() -> None:
+    async with watched() as w:
+        first = await w.call()
+        await first.answer(200, body(42, []), Connection="close")
+        assert "index=42&" in (await w.call()).first
+        await first.peer.ended()  # the old connection is not left open
+        assert w.discovery.connections == 2
+        assert w.reports.empty()
 
-    asyncio.run(asyncio.wait_for(run(), 60))
 
+@async_test()
+async def test_the_balancer_learns_of_changes_and_watches_again_after_a_failure(tmp_path: Path) -> None:
+    async with world(tmp_path, backends=0) as w:
+        (await w.discovery.requests.get()).peer.reset()
+        new = await Peer().start()
+        client = await w.ask(post())  # it waits: there is no endpoint to send it to
+        call = await w.discovery.requests.get()
+        await call.answer(200, body(42, [member("new", new.port)]))
+        await (await new.requests.get()).answer()
+        assert (await client.read()).status == 200
+        await new.stop()
 
-GOOD = member("s", 9)
+
+# Answers that make no sense
 
 
 @pytest.mark.parametrize(
@@ -82,252 +154,216 @@
         b"\xff\xfe",
     ],
 )
-def test_an_answer_that_makes_no_sense_is_a_failed_call(answer: bytes) -> None:
-    async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
-        discovery = asks(peer)
-        discovery.watch(told.put_nowait)
-        await (await peer.requests.get()).answer(200, answer)
-        assert await told.get() is None
-        discovery.watch(told.put_nowait)
-        call = await peer.requests.get()
+@async_test()
+async def test_an_answer_that_is_no_list_is_a_failed_call(answer: bytes) -> None:
+    async with watched() as w:
+        await (await w.call()).answer(200, answer)
+        assert await w.reports.get() is None
+        w.watch()
+        call = await w.call()
         assert "index=41&" in call.first
-        await call.answer(200, body(42, [GOOD], complete=True))
-        listing = await told.get()
-        assert listing is not None
-        assert listing.complete
-        await peer.stop()
+        await call.answer(200, body(42, [GOOD_ENTRY], complete=True))
+        assert (await w.reported_list()).complete
+
 
-    asyncio.run(asyncio.wait_for(run(), 60))
+@async_test()
+async def test_an_entry_that_makes_no_sense_harms_itself_only() -> None:
+    # The agent once refused a list with a bad entry as a whole. Discovery sent the same list in answer to
+    # each further call, so that the agent no longer learned of endpoints that began to drain.
+    async with watched() as w:
+        bad_entries: list[Any] = [
+            {},
+            7,
+            GOOD_ENTRY | {"id": "b", "phase": "WELL"},
+            GOOD_ENTRY | {"id": "c", "host_port": "nowhere"},
+            GOOD_ENTRY | {"id": "e", "up_since_ms": [1]},
+            GOOD_ENTRY | {"id": "f", "size": float("inf")},
+        ]
+        draining = member("d", 9, "DRAINING")
+        members = [*bad_entries[:3], GOOD_ENTRY, *bad_entries[3:], draining]
+        await (await w.call()).answer(200, body(42, members))
+        reported = await w.reported_list()
+        assert reported.revision == 42
+        status = {str(entry.endpoint.id): entry.endpoint.status for entry in reported.entries}
+        assert status.pop("s") is EndpointStatus.READY
+        assert status.pop("d") is EndpointStatus.DRAINING
+        # What discovery says of the others is not known: they are sent nothing new.
+        assert set(status) == set("bcef")
+        assert set(status.values()) == {EndpointStatus.REMOVED}
+
+
+@async_test()
+async def test_an_older_list_does_not_undo_a_newer_one() -> None:
+    async with watched() as w:
+        await (await w.call()).answer(200, body(42, [member("s", 9, "DRAINING")]))
+        assert (await w.reported_list()) is not None
+        await (await w.call()).answer(200, body(40, [GOOD_ENTRY]))
+        assert await w.reports.get() is None  # a failed call, and the next is for the complete list
+        w.watch()
+        call = await w.call()
+        assert call.first == COMPLETE_LIST_CALL
+        await call.answer(200, body(3, [GOOD_ENTRY], complete=True))  # discovery counts from the start again
+        assert (await w.reported_list()).revision == 3
+        assert "index=3&" in (await w.call()).first
+
+
+# Silence: a discovery that is cut off and closes no connection
 
 
 @pytest.mark.parametrize("begun", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"])
-def test_a_watch_that_falls_silent_is_found_broken_soon_after_its_wait(begun: bytes) -> None:
-    # It was given up 2 s after its wait, just when what it missed counts as told; then the next call came.
-    async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
-        discovery = asks(peer, wait_ms=30)
-        discovery.watch(told.put_nowait)
-        silent = await peer.requests.get()
-        assert "&wait=30 " in silent.first
-        await silent.peer.write(begun)
+@async_test()
+async def test_a_watch_that_falls_silent_is_replaced_shortly_after_its_wait(begun: bytes) -> None:
+    # The agent once gave a silent long poll up 2 s after its wait. What the poll had missed counted as
+    # notified at that very time, and only then did the next call begin.
+    async with watched(long_poll_ms=30) as w:
+        unanswered = await w.call()
+        assert "&wait=30 " in unanswered.first
+        await unanswered.peer.write(begun)
         async with asyncio.timeout(1.7):
-            call = await peer.requests.get()
-        await silent.peer.ended()
-        # On a new connection, at once, and it does not wait again for what was missed.
+            call = await w.call()
+        await unanswered.peer.ended()
+        # On a new connection, at once, and without waiting for what was missed.
         assert "index=41&wait=1 " in call.first
-        assert peer.connections == 2
-        await call.answer(200, body(42, [GOOD]))
-        listing = await told.get()
-        assert listing is not None
-        assert listing.revision == 42
-        assert told.empty()
-        assert "index=42&wait=30 " in (await peer.requests.get()).first
-        assert peer.connections == 2
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-def test_a_watch_that_is_silent_again_when_opened_anew_has_broken(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.05)
-
-    async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
-        asks(peer, wait_ms=30).watch(told.put_nowait)
-        assert "&wait=30 " in (await peer.requests.get()).first
-        assert "&wait=1 " in (await peer.requests.get()).first
-        assert await told.get() is None
-        assert peer.requests.empty()
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-def test_where_agents_share_discovery_the_call_after_a_failed_one_does_not_wait(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    # Begun within an outage it may be silent for good: it was found so after up to 20.5 s, told or not.
-    monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.05)
-
-    async def run() -> None:
-        async with world(tmp_path, backends=0) as w:
-            first = await w.discovery.requests.get()
-            await first.answer(503, b"")
-            silent = await w.discovery.requests.get()
-            assert "index=41&wait=1 " in silent.first
-            await silent.peer.ended()
-            call = await w.discovery.requests.get()
-            assert "index=41&wait=1 " in call.first
-            await call.answer(200, body(42, [GOOD]))
-            call = await w.discovery.requests.get()
-            assert "index=42&wait=" in call.first
-            assert "&wait=1 " not in call.first
-
-    asyncio.run(run())
+        assert w.discovery.connections == 2
+        await call.answer(200, body(42, [GOOD_ENTRY]))
+        assert (await w.reported_list()).revision == 42
+        assert w.reports.empty()
+        assert "index=42&wait=30 " in (await w.call()).first
+        assert w.discovery.connections == 2
+
+
+@pytest.mark.usefixtures("short_call_timeout")
+@async_test()
+async def test_a_watch_that_is_silent_on_its_new_connection_too_has_failed() -> None:
+    async with watched(long_poll_ms=30) as w:
+        assert "&wait=30 " in (await w.call()).first
+        assert "&wait=1 " in (await w.call()).first
+        assert await w.reports.get() is None
+        assert w.discovery.requests.empty()
+
+
+@pytest.mark.usefixtures("short_call_timeout")
+@async_test()
+async def test_at_a_shared_discovery_the_call_after_a_failed_one_does_not_wait(tmp_path: Path) -> None:
+    # The first call after an outage began may never be answered. When it was a long poll, that was found out
+    # after up to 20.5 s, while changes count as notified much earlier.
+    async with world(tmp_path, backends=0) as w:
+        await (await w.discovery.requests.get()).answer(503, b"")
+        unanswered = await w.discovery.requests.get()
+        assert "index=41&wait=1 " in unanswered.first
+        await unanswered.peer.ended()
+        call = await w.discovery.requests.get()
+        assert "index=41&wait=1 " in call.first
+        await call.answer(200, body(42, [GOOD_ENTRY]))
+        call = await w.discovery.requests.get()
+        assert "index=42&wait=" in call.first
+        assert "&wait=1 " not in call.first
 
 
+@pytest.mark.usefixtures("short_call_timeout")
 @pytest.mark.parametrize("revision", [0, None])
-def test_a_connection_to_discovery_that_does_not_come_up_is_given_up_whatever_the_settings_allow(
-    monkeypatch: pytest.MonkeyPatch, revision: int | None
+@async_test(timeout_s=5.0)
+async def test_a_connection_that_does_not_open_is_given_up_however_long_the_settings_allow(
+    revision: int | None,
 ) -> None:
-    monkeypatch.setattr(discovery_module, "CALL_TIMEOUT_S", 0.05)
-
-    async def run() -> None:
-        with socket.socket() as full, contextlib.ExitStack() as kept:
-            full.bind(("127.0.0.1", 0))
-            full.listen(0)
-            for _ in range(8):  # its queue is filled, and no one accepts: the next one hangs
-                s = kept.enter_context(socket.socket())
-                s.setblocking(False)
-                s.connect_ex(full.getsockname())
-            told = asyncio.Queue[EndpointList | None]()
-            parser = EndpointListParser(Clock(), ("a",))
-            discovery = DiscoveryClient(Address(*full.getsockname()), parser, 0, connect_timeout_s=60.0)
-            discovery._revision = revision
-            discovery.watch(told.put_nowait)
-            async with asyncio.timeout(5):
-                assert await told.get() is None
-
-    asyncio.run(run())
-
-
-def test_where_agents_share_discovery_their_waits_do_not_end_together(tmp_path: Path) -> None:
-    # Six watches that fell silent at once were opened anew at once, and waited in turn beyond the grace.
-    async def waits(mode: str) -> list[int]:
-        found = []
-        for i in range(20):
-            peer = await Peer().start()
-            doc = config_doc(peer.port, [])
-            doc["settings"]["registryMode"], doc["seed"] = mode, f"{i + 1:x}"
-            clock = Clock()
-            config = load_config(tmp_path, doc, clock)
-            agent, _ = assemble(config, clock)
-            agent.start(config.known_list)
-            first = (await peer.requests.get()).first
-            found.append(int(first.partition("&wait=")[2].split()[0]))
-            await peer.stop()
-        return found
-
-    asked = asyncio.run(waits("ask"))
-    assert min(asked) >= 10_000
-    assert max(asked) <= 20_000
-    assert len(set(asked)) > 10
-    assert max(asked) - min(asked) > 4_000
-    assert max(asyncio.run(waits("push"))) <= 4_000
-
-
-def test_a_connection_that_discovery_closes_is_replaced() -> None:
-    async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
-        discovery = asks(peer)
-        discovery.watch(told.put_nowait)
-        first = await peer.requests.get()
-        await first.answer(200, body(42, []), Connection="close")
-        assert "index=42&" in (await peer.requests.get()).first
-        await first.peer.ended()  # and the old one is not left open
-        assert peer.connections == 2
-        assert told.empty()
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-def test_the_module_hears_of_changes_and_asks_again_after_a_break(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path, backends=0) as w:
-            (await w.discovery.requests.get()).peer.reset()
-            late = await Peer().start()
-            client = await w.ask(post())  # held: there is nobody to send it to
-            call = await w.discovery.requests.get()
-            await call.answer(200, body(42, [member("late", late.port)]))
-            await (await late.requests.get()).answer()
-            assert (await client.read()).status == 200
-            await late.stop()
-
-    asyncio.run(run())
-
-
-def test_an_entry_that_makes_no_sense_harms_itself_only() -> None:
-    # Refused whole, the same answer came again to each call: servers that drained were not heard of any more.
-    async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
-        discovery = asks(peer)
-        discovery.watch(told.put_nowait)
-        bad: list[Any] = [
-            {},
-            7,
-            GOOD | {"id": "b", "phase": "WELL"},
-            GOOD | {"id": "c", "host_port": "nowhere"},
-            GOOD | {"id": "e", "up_since_ms": [1]},
-            GOOD | {"id": "f", "size": float("inf")},
-        ]
-        drains = member("d", 9, "DRAINING")
-        await (await peer.requests.get()).answer(200, body(42, [*bad[:3], GOOD, *bad[3:], drains]))
-        listing = await told.get()
-        assert listing is not None
-        assert listing.revision == 42
-        states = {str(m.endpoint.id): m.endpoint.status for m in listing.entries}
-        assert states.pop("s") is EndpointStatus.READY
-        assert states.pop("d") is EndpointStatus.DRAINING
-        # What is said of them is not known: they are sent nothing new.
-        assert set(states) == set("bcef")
-        assert set(states.values()) == {EndpointStatus.REMOVED}
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-def test_a_list_of_thousands_is_read_whole() -> None:
-    parser = EndpointListParser(Clock(), ("a",))
-    members = [member(f"s-{i:08x}", 1 + i % 60000) for i in range(5000)]
-    text = body(42, members, complete=True)
-    assert len(text) < MAX_ANSWER_BYTES
-    assert len({m.endpoint.id for m in parser.parse(json.loads(text)).entries}) == 5000
-
-
-def test_an_older_answer_does_not_undo_what_is_known(tmp_path: Path) -> None:
-    async def run() -> None:
-        peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
-        discovery = asks(peer)
-        discovery.watch(told.put_nowait)
-        await (await peer.requests.get()).answer(200, body(42, [member("s", 9, "DRAINING")]))
-        assert (await told.get()) is not None
-        await (await peer.requests.get()).answer(200, body(40, [member("s", 9)]))
-        assert await told.get() is None  # a failed call, and the next is for the whole list
-        discovery.watch(told.put_nowait)
-        call = await peer.requests.get()
-        assert call.first == "GET /catalog/members HTTP/1.1"
-        await call.answer(200, body(3, [GOOD], complete=True))  # discovery has begun to count anew
-        listing = await told.get()
-        assert listing is not None
-        assert listing.revision == 3
-        assert "index=3&" in (await peer.requests.get()).first
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-def test_a_fetch_and_a_watch_that_cross_end_at_the_newer_list() -> None:
-    async def run() -> None:
-        for fetch_first in (True, False):
-            peer, told = await Peer().start(), asyncio.Queue[EndpointList | None]()
-            discovery = asks(peer)
-            discovery.watch(told.put_nowait)
-            watch = await peer.requests.get()
-            discovery.fetch(told.put_nowait)
-            fetch = await peer.requests.get()
-            if fetch_first:
-                await fetch.answer(200, body(43, [member("s", 9, "DRAINING")], complete=True))
-                assert (listing := await told.get()) is not None
-                assert listing.revision == 43
-                await watch.answer(200, body(42, [member("s", 9)]))
-            else:
-                await watch.answer(200, body(43, [member("s", 9, "DRAINING")]))
-                assert (listing := await told.get()) is not None
-                assert listing.revision == 43
-                await fetch.answer(200, body(42, [member("s", 9)], complete=True))
-            assert await told.get() is None
-            await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
+    with socket.socket() as full, contextlib.ExitStack() as queued:
+        full.bind(("127.0.0.1", 0))
+        full.listen(0)
+        for _ in range(8):  # nothing is accepted: when the queue is full, the next connection hangs
+            queued_socket = queued.enter_context(socket.socket())
+            queued_socket.setblocking(False)
+            queued_socket.connect_ex(full.getsockname())
+        reports = asyncio.Queue[EndpointList | None]()
+        parser = EndpointListParser(Clock(), ("a",))
+        address = Address(*full.getsockname())
+        DiscoveryClient(address, parser, revision, connect_timeout_s=60.0).watch(reports.put_nowait)
+        assert await reports.get() is None
+
+
+async def first_waits_ms(folder: Path, mode: str) -> list[int]:
+    """The wait in the first call of each of twenty agents."""
+    waits_ms = []
+    for number in range(20):
+        discovery = await Peer().start()
+        document = config_doc(discovery.port, [])
+        document["settings"]["registryMode"], document["seed"] = mode, f"{number + 1:x}"
+        clock = Clock()
+        config = load_config(folder, document, clock)
+        agent, _ = assemble(config, clock)
+        agent.start(config.known_list)
+        first = (await discovery.requests.get()).first
+        waits_ms.append(int(first.partition("&wait=")[2].split()[0]))
+        await discovery.stop()
+    return waits_ms
+
+
+def test_at_a_shared_discovery_the_waits_of_the_agents_do_not_end_together(tmp_path: Path) -> None:
+    # The watches of six agents once fell silent at the same time and were replaced at the same time. Their
+    # calls had to wait for each other, until changes counted as notified.
+    waits_ms = asyncio.run(first_waits_ms(tmp_path, "ask"))
+    assert min(waits_ms) >= 10_000
+    assert max(waits_ms) <= 20_000
+    assert len(set(waits_ms)) > 10
+    assert max(waits_ms) - min(waits_ms) > 4_000
+    assert max(asyncio.run(first_waits_ms(tmp_path, "push"))) <= 4_000
+
+
+# Watch, fetch and a change of address that cross
+
+
+@pytest.mark.parametrize("fetch_first", [True, False])
+@async_test()
+async def test_a_fetch_and_a_watch_that_cross_end_at_the_newer_list(fetch_first: bool) -> None:
+    async with watched() as w:
+        watch = await w.call()
+        w.fetch()
+        fetch = await w.call()
+        if fetch_first:
+            await fetch.answer(200, body(43, [member("s", 9, "DRAINING")], complete=True))
+            assert (await w.reported_list()).revision == 43
+            await watch.answer(200, body(42, [GOOD_ENTRY]))
+        else:
+            await watch.answer(200, body(43, [member("s", 9, "DRAINING")]))
+            assert (await w.reported_list()).revision == 43
+            await fetch.answer(200, body(42, [GOOD_ENTRY], complete=True))
+        assert await w.reports.get() is None
+
+
+@async_test()
+async def test_a_change_of_address_while_a_large_list_is_read_leaves_nothing_of_it() -> None:
+    async with watched() as w:
+        new = await Peer().start()
+        await (await w.call()).answer(200, body(50, fleet(FLEET_SIZE), complete=True))
+        await w.until_reading(entries=100)
+        assert w.reports.empty()
+        assert w.parser.cached_entry_count < FLEET_SIZE
+        w.change_address(address_of(new))
+        call = await new.requests.get()
+        assert call.first.startswith("GET /catalog/members HTTP")
+        await call.answer(200, body(3, fleet(5), complete=True))
+        reported = await w.reported_list()
+        assert (reported.revision, len(reported.entries)) == (3, 5)
+        assert w.reports.empty()
+        w.change_address(address_of(w.discovery))  # ends the watch there
+        await new.stop()
+
+
+@async_test()
+async def test_an_older_complete_list_that_is_read_while_a_newer_one_arrives_changes_nothing() -> None:
+    async with watched() as w:
+        watch = await w.call()
+        w.fetch()
+        fetch = await w.call()
+        await watch.answer(200, body(50, fleet(FLEET_SIZE), complete=True))
+        await w.until_reading(entries=100)
+        await fetch.answer(200, body(51, fleet(5), complete=True))
+        reported = await w.reported_list()
+        assert (reported.revision, len(reported.entries)) == (51, 5)
+        assert await w.reports.get() is None
+        assert w.reports.empty()
+        w.watch()  # the call of the older list began before the newer one was known: now the complete list
+        call = await w.call()
+        assert call.first.startswith("GET /catalog/members HTTP")
+        await call.answer(200, body(51, fleet(5), complete=True))
+        await w.reports.get()
+        w.change_address(Address("127.0.0.1", 9))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import json
 from collections.abc import Callable
 from dataclasses import replace
 from random import Random
@@ -13,9 +12,6 @@
 
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.config import config_from
-from nickelmount.agent.connection_pool import ConnectionPool
-from nickelmount.agent.discovery_client import DiscoveryClient
-from nickelmount.agent.upstream import Upstream
 from nickelmount.balancer.balancer import Balancer, ColdBudget
 from nickelmount.balancer.events import (
     Endpoint,
@@ -28,10 +24,7 @@
 from nickelmount.fleet.emulated_discovery import Standin
 from nickelmount.fleet.experiment import Agents, Experiment
 from nickelmount.fleet.hollow_agents import Hollow
-from nickelmount.protocol.address import Address
-from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser
 from tests.balancer_driver import SAFE, SECOND, Drive
-from tests.loopback import Peer, member
 
 LARGE = 6300
 CLOCK = Clock()
@@ -114,147 +107,11 @@
     assert d.request()[1]
 
 
-# The list, on the agent's side of the module
-
-
-def entries(*changes: dict[str, Any], count: int = 200) -> list[dict[str, Any]]:
-    listed = {f"s{i}": member(f"s{i}", 9000 + i % 8) for i in range(count)}
-    return list((listed | {c["id"]: c for c in changes}).values())
-
-
-def whole(revision: int, members: list[dict[str, Any]]) -> dict[str, Any]:
-    # As it comes off the wire: no object of one list is an object of another.
-    text = json.dumps({"revision": revision, "complete": True, "members": members})
-    found: dict[str, Any] = json.loads(text)
-    return found
-
-
-def parser() -> EndpointListParser:
-    return EndpointListParser(CLOCK, ("a", "b"))
-
-
-def backends() -> Upstream:
-    return Upstream(CLOCK, (), ConnectionPool(CLOCK, 250_000, 10_000_000, 9))
-
-
-def test_of_a_whole_list_the_module_is_told_what_has_changed() -> None:
-    there, read = backends(), parser()
-    assert len(there.apply(read.parse(whole(1, entries())))) == 200
-    assert there.apply(read.parse(whole(2, entries()))) == []
-    changed = entries(member("s3", 9003, "DRAINING"), member("s4", 9004, up=77_000), member("s5", 9999))
-    told = there.apply(read.parse(whole(3, [m for m in changed if m["id"] != "s9"])))
-    assert [(b.id, b.status) for b in told] == [
-        ("s3", EndpointStatus.DRAINING),
-        ("s4", EndpointStatus.READY),
-        ("s5", EndpointStatus.READY),
-        ("s9", EndpointStatus.REMOVED),
-    ]
-    assert there.ready("s9") is None
-    assert there.ready("s3") is None
-    (back,) = there.apply(read.parse(whole(4, changed)))
-    assert back.id == "s9"
-    assert there.ready("s9") is not None
-
-
-def test_an_entry_that_reads_as_before_is_the_same_and_what_is_not_listed_is_not_kept() -> None:
-    read = parser()
-    before = read.parse(whole(1, entries())).entries
-    after = read.parse(whole(2, entries(member("s3", 9003, "DRAINING"), count=150))).entries
-    assert [m for m in after if m not in before] == [after[3]]
-    assert all(new is old for new, old in zip(after, before, strict=False) if new is not after[3])
-    assert read.cached_entry_count == 150
-    read.parse({"revision": 3, "complete": False, "members": [member("s7", 9007, "DELETED")]})
-    assert read.cached_entry_count == 149
-    broken = {**member("s8", 9000), "size": float("nan")}
-    told = read.parse(whole(4, entries(broken)))  # was well before: what is wrong with it now counts
-    assert [m.endpoint.status for m in told.entries if m.endpoint.id == "s8"] == [EndpointStatus.REMOVED]
-
-
-def test_a_list_of_thousands_is_read_in_many_turns_of_the_loop() -> None:
-    async def run() -> None:
-        doc, turns = whole(1, entries(count=LARGE)), 0
-
-        async def others() -> None:
-            nonlocal turns
-            while True:
-                turns += 1
-                await asyncio.sleep(0)
-
-        meanwhile = asyncio.create_task(others())
-        listing = await parser().parse_in_slices(doc)
-        meanwhile.cancel()
-        assert turns > 90
-        assert listing == parser().parse(doc)
-
-    asyncio.run(run())
-
-
-# Crossings
-
-
-class Told:
-    """A Discovery that watches a scripted peer."""
-
-    def __init__(self, peer: Peer, revision: int) -> None:
-        self.parser = parser()
-        self.discovery = DiscoveryClient(Address("127.0.0.1", peer.port), self.parser, revision, 9.0)
-        self.told: list[EndpointList | None] = []
-
-    def watch(self) -> None:
-        self.discovery.watch(self.told.append)
-
-
 async def turns(reached: Callable[[], bool]) -> None:
     while not reached():
         await asyncio.sleep(0)
 
 
-def test_a_move_in_the_middle_of_a_large_list_leaves_nothing_of_it() -> None:
-    async def run() -> None:
-        old, new = await Peer().start(), await Peer().start()
-        there = Told(old, 41)
-        there.watch()
-        await (await old.requests.get()).answer(200, json.dumps(whole(50, entries(count=LARGE))).encode())
-        await turns(lambda: there.parser.cached_entry_count > 100)
-        assert not there.told
-        assert there.parser.cached_entry_count < LARGE
-        there.discovery.change_address(Address("127.0.0.1", new.port), there.told.append)
-        request = await new.requests.get()
-        assert request.first.startswith("GET /catalog/members HTTP")
-        await request.answer(200, json.dumps(whole(3, entries(count=5))).encode())
-        await turns(lambda: bool(there.told))
-        assert [(t.revision, len(t.entries)) for t in there.told if t is not None] == [(3, 5)]
-        there.discovery.change_address(Address("127.0.0.1", old.port), there.told.append)  # ends the watch
-        await old.stop()
-        await new.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
-def test_an_older_whole_list_that_is_read_while_a_newer_one_comes_changes_nothing() -> None:
-    async def run() -> None:
-        peer = await Peer().start()
-        there = Told(peer, 41)
-        there.watch()
-        watch = await peer.requests.get()
-        there.discovery.fetch(there.told.append)
-        fetch = await peer.requests.get()
-        await watch.answer(200, json.dumps(whole(50, entries(count=LARGE))).encode())
-        await turns(lambda: there.parser.cached_entry_count > 100)  # it is being read
-        await fetch.answer(200, json.dumps(whole(51, entries(count=5))).encode())
-        await turns(lambda: None in there.told)
-        assert [t and (t.revision, len(t.entries)) for t in there.told] == [(51, 5), None]
-        there.watch()  # begun ahead of what is known: the whole list tells
-        again = await peer.requests.get()
-        assert again.first.startswith("GET /catalog/members HTTP")
-        await again.answer(200, json.dumps(whole(51, entries(count=5))).encode())
-        await turns(lambda: len(there.told) == 3)
-        there.discovery.change_address(Address("127.0.0.1", 9), there.told.append)
-        await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
-
-
 @pytest.mark.parametrize("history", ["kept", "gone", "renumbered"])
 def test_agents_that_come_back_in_the_middle_of_an_outage_end_with_the_list(history: Any) -> None:
     async def run() -> None:
