--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The agent as a process within its limits: descriptors, and processor time till it is ready."""
+"""The agent as a process within its limits: descriptors, and processor time until it is ready."""
 
 from __future__ import annotations
 
@@ -6,111 +6,112 @@
 import contextlib
 import os
 import resource
-from collections.abc import AsyncIterator
 from pathlib import Path
-from typing import Any
 
 import pytest
 
+from tests.agent_process import AgentProcess, agent_process, complete_list, started_peers
+from tests.async_test import async_test
 from tests.loopback import Conversation, Peer, config_doc, member, post
-from tests.test_reload import Running, whole
 
-HEALTH = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
+HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
+MAX_DESCRIPTORS = 256
+# Nine agents in ten are to be ready within this time, also on this share of a core.
+READY_WITHIN_S, CORE_SHARE = 10.0, 0.05
 
 
-@contextlib.asynccontextmanager
-async def running(folder: Path, doc: dict[str, Any]) -> AsyncIterator[Running]:
-    """The agent; ended with the block, and killed if that fails."""
-    agent = Running(folder)
-    try:
-        await agent.start(doc)
-        yield agent
-        await agent.stop()
-    finally:
-        if agent.process.returncode is None:
-            agent.process.kill()
-
-
-async def listens(port: int) -> Peer:
-    """A peer at an address that is known ahead."""
+async def peer_at(port: int) -> Peer:
+    """A scripted server at a port that is given."""
     peer = Peer()
     peer.server, peer.port = await asyncio.start_server(peer.serve, "127.0.0.1", port), port
     return peer
 
 
-@pytest.mark.parametrize("spoke", [False, True])
-def test_idle_clients_in_an_outage_of_discovery_leave_descriptors_for_what_comes_after_it(
-    tmp_path: Path, spoke: bool
+async def connect_idle_clients(agent: AgentProcess, count: int, send_request: bool) -> list[Conversation]:
+    """Connections of clients, idle from their start or after one request each."""
+    clients: list[Conversation] = []
+    for _ in range(count):
+        clients.append(await agent.client())
+        if send_request:
+            with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
+                await clients[-1].write(HEALTH_CHECK)
+                await clients[-1].read()
+    return clients
+
+
+async def is_served(client: Conversation, endpoint: Peer, request_id: str) -> bool:
+    """Send a request; whether it was answered by way of the endpoint."""
+    with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
+        answer = asyncio.create_task(client.read())
+        await client.write(post(Request_Id=request_id))
+        arrival = asyncio.create_task(endpoint.requests.get())
+        await asyncio.wait([arrival, answer], return_when=asyncio.FIRST_COMPLETED)
+        if arrival.done():
+            await arrival.result().answer()
+        arrival.cancel()
+        return (await answer).status == 200
+    return False
+
+
+@pytest.mark.parametrize("send_request", [False, True])
+@async_test(timeout_s=30.0)
+async def test_idle_clients_leave_descriptors_for_what_follows_an_outage_of_discovery(
+    tmp_path: Path, send_request: bool
 ) -> None:
-    async def run() -> None:
-        discovery, gone, new = [await Peer().start() for _ in range(3)]
-        doc = config_doc(discovery.port, [member("a", gone.port)])
-        most = doc["limits"]["sockets"] = 256
-        async with running(tmp_path, doc) as agent:
-            resource.prlimit(agent.process.pid, resource.RLIMIT_NOFILE, (most, most))
+    # Clients hold as many idle connections as there are descriptors. The agent still has to reach discovery
+    # after the outage, and an endpoint that it has no connection to yet.
+    async with started_peers(3) as (discovery, removed, new):
+        document = config_doc(discovery.port, [member("a", removed.port)])
+        document["limits"]["sockets"] = MAX_DESCRIPTORS
+        async with agent_process(tmp_path, document) as agent:
+            pid = agent.process.pid
+            resource.prlimit(pid, resource.RLIMIT_NOFILE, (MAX_DESCRIPTORS, MAX_DESCRIPTORS))
             watch = await discovery.requests.get()
             discovery.server.close()
             watch.peer.reset()
-            await agent.line("call to discovery failed")
-            idle: list[Conversation] = []
-            for _ in range(most):
-                idle.append(await agent.client())
-                if spoke:
-                    with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-                        await idle[-1].write(HEALTH)
-                        await idle[-1].read()
-            await agent.line("call to discovery failed")  # and goes on to be tried while they stay
-            discovery = await listens(discovery.port)
-            call = await discovery.requests.get()
-            await call.answer(200, whole(42, member("b", new.port)))
-            assert "index=42&" in (await discovery.requests.get()).first
-            # On one that stayed, and on a new one, which may be shut unread while all places are in use.
-            client = next(c for c in idle if not c.told_of_close())
+            await agent.log_line("call to discovery failed")
+            clients = await connect_idle_clients(agent, MAX_DESCRIPTORS, send_request)
+            await agent.log_line("call to discovery failed")  # it goes on to be called while they stay
+            returned = await peer_at(discovery.port)
+            call = await returned.requests.get()
+            await call.answer(200, complete_list(42, member("b", new.port)))
+            assert "index=42&" in (await returned.requests.get()).first
+            # On a connection that stayed, and on a new one. A new one may be closed unread while all places
+            # are in use; then the next is tried.
+            client = next(client for client in clients if not client.told_of_close())
             served = 0
             while served < 2:
-                with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-                    answer = asyncio.create_task(client.read())
-                    await client.write(post(Request_Id=f"9b{served}"))
-                    got = asyncio.create_task(new.requests.get())
-                    await asyncio.wait([got, answer], return_when=asyncio.FIRST_COMPLETED)
-                    if got.done():
-                        await got.result().answer()
-                    got.cancel()
-                    served += (await answer).status == 200
-                idle.append(client := await agent.client())
-            assert gone.requests.empty()
-            assert len(os.listdir(f"/proc/{agent.process.pid}/fd")) <= most
-            for c in idle:
-                c.close()
-        for peer in (discovery, gone, new):
-            await peer.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 30))
-
-
-def processor_s(pid: int) -> float:
-    """What a process has used so far, of all its threads."""
+                served += await is_served(client, new, f"9b{served}")
+                clients.append(client := await agent.client())
+            assert removed.requests.empty()
+            assert len(os.listdir(f"/proc/{pid}/fd")) <= MAX_DESCRIPTORS
+            for client in clients:
+                client.close()
+            await agent.stop()
+        await returned.stop()
+
+
+def processor_time_s(pid: int) -> float:
+    """What a process has used so far, with all of its threads."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-READY_S, SHARE = 10.0, 0.05  # nine in ten are to be ready so soon, also with so small a part of a core
-
-
-@pytest.mark.parametrize("count", [20, 200, 6300])
-def test_an_agent_is_ready_in_time_with_a_small_part_of_a_core(tmp_path: Path, count: int) -> None:
-    async def run() -> None:
-        discovery = await Peer().start()
-        doc = config_doc(discovery.port, [member(f"s-{i:08x}", 1 + i % 60000) for i in range(count)])
-        doc["settings"]["siblings"] = count
-        async with running(tmp_path, doc) as agent:
+@pytest.mark.parametrize("endpoint_count", [20, 200, 6300])
+@async_test()
+async def test_an_agent_is_ready_in_time_on_a_small_share_of_a_core(
+    tmp_path: Path, endpoint_count: int
+) -> None:
+    async with started_peers(1) as (discovery,):
+        entries = [member(f"s-{i:08x}", 1 + i % 60000) for i in range(endpoint_count)]
+        document = config_doc(discovery.port, entries)
+        document["settings"]["siblings"] = endpoint_count
+        async with agent_process(tmp_path, document) as agent:
             client = await agent.client()
-            await client.write(HEALTH)
+            await client.write(HEALTH_CHECK)
             assert (await client.read()).status == 200
-            used_s = processor_s(agent.process.pid)
-            print(f"{count} entries: ready after {used_s:.2f} s of processor time")
-            assert used_s < READY_S * SHARE
+            used_s = processor_time_s(agent.process.pid)
+            print(f"{endpoint_count} entries: ready after {used_s:.2f} s of processor time")
+            assert used_s < READY_WITHIN_S * CORE_SHARE
             client.close()
-        await discovery.stop()
-
-    asyncio.run(asyncio.wait_for(run(), 60))
+            await agent.stop()
