--- a/nickelmount/agent/connection_pool.py
+++ b/nickelmount/agent/connection_pool.py
@@ -12,10 +12,10 @@
 from httptools import HttpResponseParser
 
 from nickelmount.balancer.events import EndpointId
+from nickelmount.protocol.endpoint_list import ListedEndpoint
 
 from .clock import Clock
 from .connection import Connection
-from .discovery import ListedEndpoint
 from .http import HttpMessage, HttpReader
 
 # An idle connection is closed here after this share of the endpoints' idle timeout. If the endpoint closed it
--- a/nickelmount/agent/upstream.py
+++ b/nickelmount/agent/upstream.py
@@ -11,10 +11,10 @@
 
 from nickelmount.balancer.events import Endpoint, EndpointId, EndpointStatus
 from nickelmount.protocol import http_names
+from nickelmount.protocol.endpoint_list import EndpointList, ListedEndpoint
 
 from .clock import Clock
 from .connection_pool import ConnectionPool
-from .discovery import EndpointList, ListedEndpoint
 from .upstream_exchange import Exchange, ExchangeResult, UpstreamRequest
 
 log = logging.getLogger(__name__)
--- a/nickelmount/agent/upstream_exchange.py
+++ b/nickelmount/agent/upstream_exchange.py
@@ -12,11 +12,11 @@
 
 from nickelmount.balancer.events import EndpointId, Outcome
 from nickelmount.protocol import http_names
+from nickelmount.protocol.endpoint_list import ListedEndpoint
 from nickelmount.protocol.load_report import parse_load_report
 
 from .clock import Clock
 from .connection_pool import ConnectionPool, PooledConnection
-from .discovery import ListedEndpoint
 from .http import HttpMessage, encode_request
 
 log = logging.getLogger(__name__)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -21,16 +21,17 @@
 import pytest
 
 from nickelmount.agent.agent import Agent
+from nickelmount.agent.assembly import assemble
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.config import Config, load
 from nickelmount.agent.connection import Connection
 from nickelmount.agent.connection_pool import ConnectionPool, PooledConnection
-from nickelmount.agent.discovery import Address, EndpointList, EndpointListParser, ListedEndpoint
 from nickelmount.agent.downstream import ClientTimeouts
-from nickelmount.agent.lifecycle import assemble
 from nickelmount.agent.listener import Listener
 from nickelmount.balancer.balancer import Balancer
 from nickelmount.balancer.events import TimerFired
+from nickelmount.protocol.address import Address
+from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser, ListedEndpoint
 
 KEYED, UNSAFE = "registro-servicio", "vale-almacen"  # classes: repeats are dropped by key; must not run twice
 LOAD = b"inflight=0,queue=0,util=0.1"
@@ -120,7 +121,7 @@
     *members: dict[str, Any], complete: bool = False, zones: tuple[str, ...] = ("a",)
 ) -> EndpointList:
     """An endpoint list as the agent reads it."""
-    parser = EndpointListParser(Clock(), zones, ("m",))
+    parser = EndpointListParser(Clock(), zones)
     return parser.parse({"revision": 42, "complete": complete, "members": list(members)})
 
 
