--- a/nickelmount/fleet/role.py
+++ b/nickelmount/fleet/role.py
@@ -1,7 +1,8 @@
-"""One process of the fleet: takes commands on standard input, one JSON object a line, and ends with it.
+"""One process of the fleet: carries out commands from its standard input, and ends when that ends.
 
-A command is ``{"do": name, ...arguments}``; its answer is ``{"ok": {...}}`` or ``{"error": "one line"}``, one
-line each, in order. As the end of input ends the process, none is left behind whatever becomes of the runner.
+A command is one line, ``{"do": name, ...arguments}``; its answer is one line, ``{"ok": {...}}`` or
+``{"error": "one line"}``, in order. Since the end of its input ends the process, none is left behind even if
+the runner is killed.
 """
 
 from __future__ import annotations
@@ -11,52 +12,72 @@
 import signal
 import sys
 from collections.abc import Awaitable, Callable, Mapping
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 import psutil
 
 Command = Callable[..., Awaitable[dict[str, Any]]]
+Arguments = TypeVar("Arguments")
 
-LINE_BYTES = 64 * 1024 * 1024  # histograms and times of thousands of agents come as one line
+MAX_LINE_BYTES = 64 * 1024 * 1024  # histograms, and times of thousands of agents, are one line
 
 
 def usage() -> dict[str, float]:
-    """What this process has used: processor seconds, user and system, and resident memory in MB."""
-    own = psutil.Process()
-    times = own.cpu_times()
-    return {"cpu_s": times.user + times.system, "rss_mb": own.memory_info().rss / 1e6}
+    """Return what this process has used: processor seconds, user and system, and resident memory in MB."""
+    process = psutil.Process()
+    times = process.cpu_times()
+    return {"cpu_s": times.user + times.system, "rss_mb": process.memory_info().rss / 1e6}
+
+
+def typed_command(
+    arguments_type: type[Arguments], handler: Callable[[Arguments], Awaitable[dict[str, Any]]]
+) -> Command:
+    """Return a command whose arguments are converted to one typed message.
+
+    The command raises msgspec.ValidationError where they do not have its form.
+    """
+
+    async def command(**arguments: Any) -> dict[str, Any]:
+        return await handler(msgspec.convert(arguments, arguments_type))
+
+    return command
 
 
 async def serve(commands: Mapping[str, Command]) -> None:
     """Carry out commands until standard input ends."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(LINE_BYTES)
+    reader = asyncio.StreamReader(MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        answer = await _carried_out(commands, line)
-        await asyncio.to_thread(_say, msgspec.json.encode(answer) + b"\n")
+        answer = await _carry_out(commands, line)
+        await asyncio.to_thread(_write_to_stdout, msgspec.json.encode(answer) + b"\n")
 
 
-async def _carried_out(commands: Mapping[str, Command], line: bytes) -> dict[str, Any]:
+async def _carry_out(commands: Mapping[str, Command], line: bytes) -> dict[str, Any]:
     try:
         arguments = msgspec.json.decode(line, type=dict[str, Any])
         name = arguments.pop("do")
         return {"ok": await commands[name](**arguments)}
-    except Exception as e:  # whatever it is, the runner waits for a line
-        return {"error": f"{type(e).__name__}: {e}".replace("\n", " ")}
+    except (
+        Exception
+    ) as error:  # a command may raise anything, and without a line the runner would wait forever
+        return {"error": f"{type(error).__name__}: {error}".replace("\n", " ")}
 
 
-def _say(line: bytes) -> None:
+def _write_to_stdout(line: bytes) -> None:
     while line:
         line = line[os.write(1, line) :]
 
 
 def run(main: Callable[[], Awaitable[None]]) -> None:
-    """Run a role to its end. An interrupt of the terminal is the runner's affair, which ends the input."""
+    """Run a role until its input ends, or a SIGTERM.
+
+    An interrupt of the terminal reaches the runner as well, which then ends the input.
+    """
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
-    async def whole() -> None:
+    async def run_until_terminated() -> None:
         task = asyncio.ensure_future(main())
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
         try:
@@ -64,4 +85,4 @@
         except asyncio.CancelledError:
             return
 
-    asyncio.run(whole())
+    asyncio.run(run_until_terminated())
--- a/nickelmount/fleet/role_process.py
+++ b/nickelmount/fleet/role_process.py
@@ -10,7 +10,7 @@
 import msgspec
 import psutil
 
-from .role import LINE_BYTES
+from .role import MAX_LINE_BYTES
 
 END_S = 3.0  # then a role that does not end with its input is killed
 
@@ -34,7 +34,7 @@
             f"nickelmount.fleet.{module}",
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
-            limit=LINE_BYTES,
+            limit=MAX_LINE_BYTES,
             start_new_session=True,
         )
         return cls(module, process)
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -1,4 +1,4 @@
-"""The measuring client and the plain map servers: what they count has to be right before any figure is."""
+"""The load generator and the emulated endpoints: what they count has to be right before any figure is."""
 
 from __future__ import annotations
 
@@ -15,14 +15,24 @@
 import pytest
 from hdrh.histogram import HdrHistogram
 
-from nickelmount.fleet import load_generator as caller
+from nickelmount.fleet import request_tracker
+from nickelmount.fleet.arrivals import arrival_times_ns
 from nickelmount.fleet.emulated_endpoints import MapServers
-from nickelmount.fleet.load_generator import Caller, Calls, Pool, Stream, due_times
+from nickelmount.fleet.load_connections import LoadConnectionPool
+from nickelmount.fleet.load_generator import (
+    AgentTarget,
+    DirectTarget,
+    LoadGenerator,
+    LoadSettings,
+    RequestStream,
+)
+from nickelmount.fleet.request_statistics import RequestPath
+from nickelmount.fleet.request_tracker import RequestTracker
 
 from .loopback import Conversation, Message, Peer
 
-MS = 1_000_000  # ns
-HISTOGRAMS = ("from_due", "from_written", "lateness")
+MS_NS = 1_000_000
+HISTOGRAM_KEYS = ("from_due", "from_written", "lateness")
 
 
 def within(body: Callable[[], Awaitable[None]]) -> None:
@@ -34,42 +44,43 @@
     asyncio.run(bounded())
 
 
-def calls_of(timeout_ms: int = 5000, method: str = "GET", body_bytes: int = 0) -> Calls:
-    calls = Calls("tile", method, timeout_ms, body_bytes, 1)
-    calls.begin("calm")
-    return calls
+def new_tracker(timeout_ms: int = 5000, method: str = "GET", body_bytes: int = 0) -> RequestTracker:
+    tracker = RequestTracker("tile", method, timeout_ms, body_bytes, 1)
+    tracker.begin_phase("calm")
+    return tracker
 
 
-def result(calls: Calls, path: str = "direct", phase: str = "calm") -> dict[str, Any]:
-    return calls.phases[phase][path].result()
+def result(tracker: RequestTracker, path: RequestPath = "direct", phase: str = "calm") -> dict[str, Any]:
+    return tracker.phases[phase][path].result()
 
 
 def decoded(figures: dict[str, Any]) -> dict[str, Any]:
-    return {name: HdrHistogram.decode(figures[name]) for name in HISTOGRAMS}
+    return {name: HdrHistogram.decode(figures[name]) for name in HISTOGRAM_KEYS}
 
 
-def test_every_call_is_answered_once_and_counts_in_its_phase_and_path() -> None:
+def test_every_request_is_answered_once_and_counts_in_its_phase_and_path() -> None:
     async def body() -> None:
-        servers, calls = MapServers(), calls_of()
+        servers, tracker = MapServers(), new_tracker()
         ports = (await servers.start(2, work_ms=1.0))["ports"]
-        pools = [Pool(calls, port) for port in ports]
-        for pool, path, phase, number in (
+        pools = [LoadConnectionPool(port, tracker.end) for port in ports]
+        started: list[tuple[LoadConnectionPool, RequestPath, str, int]] = [
             (pools[0], "through", "calm", 20),
             (pools[1], "direct", "calm", 30),
             (pools[1], "direct", "changes", 5),
-        ):
-            calls.begin(phase)  # those of the phase before are still open
+        ]
+        for pool, path, phase, number in started:
+            tracker.begin_phase(phase)  # those of the phase before are still in flight
             for _ in range(number):
-                calls.start(pool, path, time.monotonic_ns())
-        await calls.none_open.wait()
-        wanted = {
+                tracker.start(pool, path, time.monotonic_ns())
+        await tracker.all_ended.wait()
+        wanted: dict[tuple[str, RequestPath], int] = {
             ("calm", "through"): 20,
             ("calm", "direct"): 30,
             ("changes", "through"): 0,
             ("changes", "direct"): 5,
         }
         for (phase, path), number in wanted.items():
-            figures = result(calls, path, phase)
+            figures = result(tracker, path, phase)
             assert figures["calls"] == figures["served"] == number
             assert figures["refused"] == figures["failed"] == figures["lost"] == 0
             assert [h.get_total_count() for h in decoded(figures).values()] == [number] * 3
@@ -83,17 +94,17 @@
     within(body)
 
 
-def test_a_call_that_nobody_answers_is_lost_after_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_without_an_answer_is_lost_after_its_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
-        monkeypatch.setattr(caller, "GRACE_S", 0.02)
-        peer, calls = await Peer().start(), calls_of(timeout_ms=30)
-        pool = Pool(calls, peer.port)
-        calls.start(pool, "direct", time.monotonic_ns())
-        await calls.none_open.wait()
-        figures = result(calls)
+        monkeypatch.setattr(request_tracker, "ANSWER_GRACE_S", 0.02)
+        peer, tracker = await Peer().start(), new_tracker(timeout_ms=30)
+        pool = LoadConnectionPool(peer.port, tracker.end)
+        tracker.start(pool, "direct", time.monotonic_ns())
+        await tracker.all_ended.wait()
+        figures = result(tracker)
         assert figures["lost"] == figures["calls"] == 1
         assert decoded(figures)["from_due"].get_max_value() >= 50_000
-        # What is answered too late must not become the answer to another call.
+        # What is answered too late must not become the answer to another request.
         assert not pool.ready
         await (await peer.requests.get()).peer.ended()
         await peer.stop()
@@ -101,51 +112,52 @@
     within(body)
 
 
-async def end_of(how: Callable[[Message], Awaitable[None]]) -> dict[str, Any]:
-    peer, calls = await Peer().start(), calls_of(method="POST", body_bytes=7)
-    pool = Pool(calls, peer.port)
-    calls.start(pool, "direct", time.monotonic_ns())
+async def result_of_one(respond: Callable[[Message], Awaitable[None]]) -> dict[str, Any]:
+    peer, tracker = await Peer().start(), new_tracker(method="POST", body_bytes=7)
+    pool = LoadConnectionPool(peer.port, tracker.end)
+    tracker.start(pool, "direct", time.monotonic_ns())
     message = await peer.requests.get()
     assert message.body == b"x" * 7
     assert message.headers["request-timeout-ms"] == "5000"
-    await how(message)
-    await calls.none_open.wait()
+    await respond(message)
+    await tracker.all_ended.wait()
     pool.close()
     await peer.stop()
-    return result(calls)
+    return result(tracker)
 
 
-def test_refusals_failures_and_losses_are_told_apart() -> None:
+def test_rejected_failed_and_lost_requests_are_counted_apart() -> None:
     async def close(message: Message) -> None:
         message.peer.close()
 
     async def body() -> None:
         for status, kind in ((200, "served"), (429, "refused"), (503, "refused"), (500, "failed")):
-            assert (await end_of(partial(Message.answer, status=status)))[kind] == 1
-        assert (await end_of(lambda m: m.peer.write(b"what?\r\n\r\n")))["failed"] == 1
-        assert (await end_of(close))["lost"] == 1
-        peer, calls = await Peer().start(), calls_of()
+            assert (await result_of_one(partial(Message.answer, status=status)))[kind] == 1
+        assert (await result_of_one(lambda m: m.peer.write(b"what?\r\n\r\n")))["failed"] == 1
+        assert (await result_of_one(close))["lost"] == 1
+        peer, tracker = await Peer().start(), new_tracker()
         await peer.stop()
-        calls.start(Pool(calls, peer.port), "direct", time.monotonic_ns())  # nobody listens
-        await calls.none_open.wait()
-        figures = result(calls)
+        pool = LoadConnectionPool(peer.port, tracker.end)  # nobody listens
+        tracker.start(pool, "direct", time.monotonic_ns())
+        await tracker.all_ended.wait()
+        figures = result(tracker)
         assert figures["failed"] == 1
         assert [h.get_total_count() for h in decoded(figures).values()] == [1, 0, 0]
 
     within(body)
 
 
-def test_no_connection_is_used_twice_before_it_has_rested() -> None:
+def test_no_connection_is_reused_before_its_delay() -> None:
     async def body() -> None:
-        servers, calls = MapServers(), calls_of()
-        pool = Pool(calls, (await servers.start(1))["ports"][0])
+        servers, tracker = MapServers(), new_tracker()
+        pool = LoadConnectionPool((await servers.start(1))["ports"][0], tracker.end)
         await pool.open_ahead(1)
-        for used_ns, connections in ((0, 1), (0, 1), (time.monotonic_ns() + 10**12, 2)):
-            pool.ready[0].used_ns = used_ns
-            calls.start(pool, "direct", time.monotonic_ns())
-            await calls.none_open.wait()
+        for last_used_ns, connections in ((0, 1), (0, 1), (time.monotonic_ns() + 10**12, 2)):
+            pool.ready[0].last_used_ns = last_used_ns
+            tracker.start(pool, "direct", time.monotonic_ns())
+            await tracker.all_ended.wait()
             assert (await servers.counts())["connections"] == connections
-        assert result(calls)["waited"] == 1
+        assert result(tracker)["waited"] == 1
         pool.close()
         servers.close()
 
@@ -153,9 +165,9 @@
 
 
 @pytest.mark.parametrize("arrivals", ["poisson", "even"])
-def test_the_same_seed_gives_the_same_due_times(arrivals: str) -> None:
+def test_the_same_seed_gives_the_same_arrival_times(arrivals: str) -> None:
     def times(seed: int, name: str) -> list[int]:
-        return list(islice(due_times(70.0, arrivals, seed, name), 7000))
+        return list(islice(arrival_times_ns(70.0, arrivals, seed, name), 7000))
 
     one = times(1, "n1")
     assert one == times(1, "n1")
@@ -164,33 +176,39 @@
     assert one[0] not in (times(2, "n1")[0], times(1, "n2")[0])
 
 
-def test_calls_that_fall_due_while_the_loop_is_held_count_their_wait() -> None:
+def block_loop(duration_s: float) -> None:
+    time.sleep(duration_s)
+
+
+def test_requests_due_while_the_loop_is_blocked_count_their_lateness() -> None:
     async def body() -> None:
-        servers, calls = MapServers(), calls_of()
-        pool = Pool(calls, (await servers.start(1))["ports"][0])
+        servers, tracker = MapServers(), new_tracker()
+        pool = LoadConnectionPool((await servers.start(1))["ports"][0], tracker.end)
         await pool.open_ahead(6)
-        stream = Stream(calls, "direct", [pool], chain([n * 10 * MS for n in range(6)], repeat(10**15)))
+        stream = RequestStream(
+            tracker, "direct", [pool], chain([n * 10 * MS_NS for n in range(6)], repeat(10**15))
+        )
         stream.start(time.monotonic_ns())
-        time.sleep(0.051)
-        while not calls.now["direct"].calls:
+        block_loop(0.051)
+        while not tracker.current["direct"].started:
             await asyncio.sleep(0)
-        await calls.none_open.wait()
+        await tracker.all_ended.wait()
         stream.stop()
         pool.close()
         servers.close()
-        figures = result(calls)
-        due, written, late = decoded(figures).values()
+        figures = result(tracker)
+        from_due, from_written, lateness = decoded(figures).values()
         assert figures["served"] == 6
         assert figures["waited"] == 0
-        assert late.get_max_value() >= 50_000
+        assert lateness.get_max_value() >= 50_000
         # They were due 10 ms apart and sent together; from when they were written nothing of that is seen.
-        assert late.get_mean_value() >= 25_900
-        assert due.get_mean_value() - written.get_mean_value() >= 25_900
+        assert lateness.get_mean_value() >= 25_900
+        assert from_due.get_mean_value() - from_written.get_mean_value() >= 25_900
 
     within(body)
 
 
-def test_a_map_server_answers_probes_and_tells_its_load() -> None:
+def test_an_endpoint_answers_probes_and_reports_its_load() -> None:
     async def body() -> None:
         servers = MapServers()
         port = (await servers.start(1, work_ms=20_000.0))["ports"][0]
@@ -223,10 +241,10 @@
     within(body)
 
 
-class Role:
-    """A role as a process."""
+class RoleProcess:
+    """The process of a role."""
 
-    async def start(self, module: str) -> Role:
+    async def start(self, module: str) -> RoleProcess:
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -239,7 +257,7 @@
         )
         return self
 
-    async def do(self, name: str, /, **arguments: Any) -> dict[str, Any]:
+    async def call(self, name: str, /, **arguments: Any) -> dict[str, Any]:
         assert self.process.stdin is not None
         assert self.process.stdout is not None
         self.process.stdin.write(msgspec.json.encode({"do": name, **arguments}) + b"\n")
@@ -247,16 +265,16 @@
         return answer["ok"]
 
     async def end(self) -> None:
-        _, complaints = await self.process.communicate(b"")  # closes its input
-        assert (self.process.returncode, complaints) == (0, b"")
+        _, errors = await self.process.communicate(b"")  # closes its input
+        assert (self.process.returncode, errors) == (0, b"")
 
 
-def test_both_roles_as_processes_agree_on_what_was_called() -> None:
+def test_both_roles_as_processes_agree_on_the_requests() -> None:
     async def body() -> None:
-        servers = await Role().start("nickelmount.fleet.emulated_endpoints")
-        client = await Role().start("nickelmount.fleet.load_generator")
-        ports = (await servers.do("start", ports=3, work_ms=0))["ports"]
-        await client.do(
+        servers = await RoleProcess().start("nickelmount.fleet.emulated_endpoints")
+        client = await RoleProcess().start("nickelmount.fleet.load_generator")
+        ports = (await servers.call("start", ports=3, work_ms=0))["ports"]
+        await client.call(
             "start",
             agents=[{"name": "n1", "port": ports[0]}],
             rate=200,
@@ -269,14 +287,14 @@
             timeout_ms=5000,
             body_bytes=0,
         )
-        for phase, least in (("calm", 50), ("changes", 100)):
-            await client.do("phase", name=phase)
-            while (await servers.do("counts"))["requests"] < least:
+        for phase, min_requests in (("calm", 50), ("changes", 100)):
+            await client.call("phase", name=phase)
+            while (await servers.call("counts"))["requests"] < min_requests:
                 pass
-        await client.do("stop")
-        results = await client.do("results")
+        await client.call("stop")
+        results = await client.call("results")
         paths = [path for phase in results["phases"].values() for path in phase.values()]
-        reached = await servers.do("counts")
+        reached = await servers.call("counts")
         assert reached["requests"] == sum(p["calls"] for p in paths) == sum(p["served"] for p in paths)
         assert reached["ids_seen_twice"] == 0
         assert set(results["phases"]) == {"warm", "calm", "changes"}
@@ -288,14 +306,29 @@
     within(body)
 
 
-def test_a_caller_says_what_it_cannot_do() -> None:
+def load_settings(arrivals: str, agents: list[AgentTarget], body_bytes: int = 0) -> LoadSettings:
+    return LoadSettings(
+        agents=agents,
+        direct=list[DirectTarget](),
+        rate=1.0,
+        direct_rate=0.0,
+        arrivals=arrivals,
+        seed=1,
+        request_class="tile",
+        method="GET",
+        timeout_ms=100,
+        body_bytes=body_bytes,
+    )
+
+
+def test_a_load_generator_says_what_it_cannot_do() -> None:
     async def body() -> None:
-        client = Caller()
+        generator = LoadGenerator()
         with pytest.raises(ValueError, match="not started"):
-            await client.stop()
+            await generator.stop()
         with pytest.raises(ValueError, match="arrivals"):
-            await client.start([{"name": "n1", "port": 9}], [], 1.0, 0.0, "bursts", 1, "tile", "GET", 100, 0)
+            await generator.start(load_settings("bursts", [AgentTarget("n1", 9)]))
         with pytest.raises(ValueError, match="body_bytes"):
-            await client.start([], [], 1.0, 0.0, "even", 1, "tile", "GET", 100, 5)
+            await generator.start(load_settings("even", [], body_bytes=5))
 
     within(body)
