--- /dev/null
+++ b/nickelmount/fleet/steady_changes.py
@@ -0,0 +1,57 @@
+"""Single changes of the list at an even rate."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+from random import Random
+
+from .catalog import Catalog
+
+
+class SteadyChanges:
+    """One change at a time: a server drains, and with the next change is ready again as restarted.
+
+    `catalog` returns the list to change; `on_change` is called after each change.
+    """
+
+    def __init__(self, catalog: Callable[[], Catalog], on_change: Callable[[], None]) -> None:
+        self._catalog, self._on_change = catalog, on_change
+        self._task: asyncio.Task[None] | None = None
+        self._drained_id: str | None = None  # drained by the last change, and ready again with the next
+
+    def start(self, per_s: float, seed: int) -> None:
+        """Change so many entries a second from now on."""
+        self.stop()
+        self._task = asyncio.get_running_loop().create_task(self._run(1 / per_s, Random(seed)))
+
+    def stop(self) -> None:
+        """Change nothing more."""
+        if self._task is not None:
+            self._task.cancel()
+            self._task = None
+
+    async def _run(self, interval_s: float, random: Random) -> None:
+        loop = asyncio.get_running_loop()
+        due_s = loop.time()
+        while True:
+            due_s = max(due_s + interval_s, loop.time())  # changes that are late do not come in a burst
+            await asyncio.sleep(due_s - loop.time())
+            self._change_one(random)
+
+    def _change_one(self, random: Random) -> None:
+        catalog = self._catalog()
+        drained_id, self._drained_id = self._drained_id, None
+        if drained_id is not None and catalog.phase(drained_id) == "DRAINING":
+            catalog.change([drained_id], "SERVING", up_since_ms=unix_time_ms())
+            self._on_change()
+        elif serving := catalog.entries("SERVING"):
+            self._drained_id = random.choice(serving).id
+            catalog.change([self._drained_id], "DRAINING")
+            self._on_change()
+
+
+def unix_time_ms() -> int:
+    """Return the Unix time in ms."""
+    return time.time_ns() // 1_000_000
--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -1,4 +1,4 @@
-"""The stand-in for discovery on loopback, watched by the agent's own client of it."""
+"""Emulated discovery on loopback, watched by the agent's client of it."""
 
 from __future__ import annotations
 
@@ -23,39 +23,43 @@
     ListedEndpoint,
 )
 from nickelmount.balancer.events import EndpointStatus
-from nickelmount.fleet import emulated_discovery as standin_module
-from nickelmount.fleet.emulated_discovery import SEND_BUFFER, Standin
+from nickelmount.fleet import large_responses
+from nickelmount.fleet.emulated_discovery import EmulatedDiscovery
+from nickelmount.fleet.listening_port import SEND_BUFFER_BYTES
 
 LOCALITIES = ("r0-z0", "r0-z1", "r1-z0", "r1-z1")
 CLOCK = Clock()  # one, so that the same start is the same time to all
 
 
 @contextlib.asynccontextmanager
-async def standing(servers: int = 40, history: int = 100) -> AsyncIterator[tuple[Standin, int]]:
-    standin, faults = Standin(), []
+async def emulated_discovery(
+    servers: int = 40, history: int = 100
+) -> AsyncIterator[tuple[EmulatedDiscovery, int]]:
+    """Emulated discovery, and its port."""
+    discovery, faults = EmulatedDiscovery(), []
     asyncio.get_running_loop().set_exception_handler(lambda _, fault: faults.append(fault))
     try:
         async with asyncio.timeout(60):  # a hang fails the test; nothing is timed by this
-            started = await standin.start(servers, 7, 2, 2, 2, [9001, 9002], history)
-            yield standin, started["port"]
+            started = await discovery.start(servers, 7, 2, 2, 2, [9001, 9002], history)
+            yield discovery, started["port"]
     finally:
-        await standin.close()
+        await discovery.close()
     assert faults == []
 
 
-class Agent:
-    """What an agent knows of the list."""
+class ListClient:
+    """An agent's client of discovery, and the list that it knows."""
 
     def __init__(self, port: int, wait_ms: int = 20_000) -> None:
         parser = EndpointListParser(CLOCK, LOCALITIES, ("fast-1c", "mid-1c", "slow-1c"))
         self.discovery = DiscoveryClient(Address("127.0.0.1", port), parser, 0, 9.0, wait_ms)
         self.known: dict[object, ListedEndpoint] = {}
-        self.told = asyncio.Queue[EndpointList | None]()
+        self.updates = asyncio.Queue[EndpointList | None]()
 
     def watch(self) -> None:
-        self.discovery.watch(self._tell)
+        self.discovery.watch(self.receive)
 
-    def _tell(self, listing: EndpointList | None) -> None:
+    def receive(self, listing: EndpointList | None) -> None:
         if listing is not None:
             if listing.complete:
                 self.known.clear()
@@ -63,12 +67,12 @@
             self.known = {
                 i: m for i, m in self.known.items() if m.endpoint.status is not EndpointStatus.REMOVED
             }
-        self.told.put_nowait(listing)
+        self.updates.put_nowait(listing)
 
     async def knows(self, revision: int) -> EndpointList:
         """Watch, again where it breaks, until this revision has been told."""
         self.watch()
-        while (listing := await self.told.get()) is None or listing.revision < revision:
+        while (listing := await self.updates.get()) is None or listing.revision < revision:
             if listing is None:
                 self.watch()
         return listing
@@ -76,42 +80,42 @@
 
 async def listed(port: int) -> dict[object, ListedEndpoint]:
     """The whole list, to one who asks for the first time."""
-    agent = Agent(port)
-    agent.discovery.fetch(agent._tell)
-    assert (listing := await agent.told.get()) is not None
+    client = ListClient(port)
+    client.discovery.fetch(client.receive)
+    assert (listing := await client.updates.get()) is not None
     assert listing.complete
-    return agent.known
+    return client.known
 
 
-async def until(standin: Standin, **figures: int) -> None:
-    while (counts := await standin.count()) | figures != counts:
+async def until(discovery: EmulatedDiscovery, **figures: int) -> None:
+    while (counts := await discovery.status()) | figures != counts:
         await asyncio.sleep(0)
 
 
-def test_a_change_reaches_the_watches_that_wait() -> None:
+def test_a_change_reaches_the_waiting_watches() -> None:
     async def run() -> None:
-        async with standing() as (standin, port):
-            agents = [Agent(port) for _ in range(20)]
-            for agent in agents:
-                assert (await agent.knows(1)).complete
-            await until(standin, waiting=20)
+        async with emulated_discovery() as (discovery, port):
+            clients = [ListClient(port) for _ in range(20)]
+            for client in clients:
+                assert (await client.knows(1)).complete
+            await until(discovery, waiting=20)
             changes = [
-                await standin.change("DRAINING", share=0.25, seed=3),
-                await standin.change("DELETED", where="rack", seed=3),
-                await standin.change("SERVING", replaced=True),
+                await discovery.change("DRAINING", share=0.25, seed=3),
+                await discovery.change("DELETED", where="rack", seed=3),
+                await discovery.change("SERVING", replaced=True),
             ]
             assert changes[0]["changed"] == 10
             assert changes[1]["revision"] == 3
-            for agent in agents:
-                assert not (await agent.knows(4)).complete
-                assert agent.known == await listed(port)
-            assert len(agents[0].known) == 40
-            counts = await standin.count()
+            for client in clients:
+                assert not (await client.knows(4)).complete
+                assert client.known == await listed(port)
+            assert len(clients[0].known) == 40
+            counts = await discovery.status()
             assert counts["whole"] == 40
             assert counts["connections"] == 40
             assert counts["waiting_most"] == 20
             assert 0 < counts["most_calls_in_100ms"] <= counts["calls"]
-            made = (await standin.made())["changes"]
+            made = (await discovery.published_changes())["changes"]
             assert [(c["revision"], c["at_ns"], c["changed"]) for c in changes] == made
 
     asyncio.run(run())
@@ -119,51 +123,51 @@
 
 @pytest.mark.parametrize("kind", ["refused", "silent"])
 @pytest.mark.parametrize("history", ["kept", "gone", "renumbered"])
-def test_after_an_outage_all_that_changed_in_it_is_known(kind: Any, history: Any) -> None:
+def test_after_an_outage_all_changes_made_in_it_are_known(kind: Any, history: Any) -> None:
     async def run() -> None:
-        async with standing() as (standin, port):
-            agent = Agent(port)
-            await agent.knows(1)
-            await standin.change("DRAINING", count=3, seed=1)
-            await standin.change("DELETED", count=3, seed=2)
-            await agent.knows(3)
-            await until(standin, waiting=1)
-            await standin.begin_outage(kind)
-            await standin.change("DELETED", where="zone", seed=3)
+        async with emulated_discovery() as (discovery, port):
+            client = ListClient(port)
+            await client.knows(1)
+            await discovery.change("DRAINING", count=3, seed=1)
+            await discovery.change("DELETED", count=3, seed=2)
+            await client.knows(3)
+            await until(discovery, waiting=1)
+            await discovery.begin_outage(kind)
+            await discovery.change("DELETED", where="zone", seed=3)
             if kind == "refused":
-                assert await agent.told.get() is None
-                agent.watch()
-                assert await agent.told.get() is None
-            assert agent.told.empty()
-            ended = await standin.end_outage(history)
+                assert await client.updates.get() is None
+                client.watch()
+                assert await client.updates.get() is None
+            assert client.updates.empty()
+            ended = await discovery.end_outage(history)
             assert ended["revision"] == (1 if history == "renumbered" else 4)
             if kind == "silent":
-                assert await agent.told.get() is None  # reset
-            listing = await agent.knows(ended["revision"])
+                assert await client.updates.get() is None  # reset
+            listing = await client.knows(ended["revision"])
             assert listing.complete == (history != "kept")
-            assert agent.known == await listed(port)
-            assert (await standin.count())["failed"] == 1
-            await agent.knows((await standin.change("DRAINING", count=1))["revision"])
-            assert agent.known == await listed(port)
-            await standin.begin_outage("silent")  # a restart alone
-            await standin.end_outage("renumbered")
-            assert await agent.told.get() is None
-            assert (await agent.knows(1)).revision == 1
+            assert client.known == await listed(port)
+            assert (await discovery.status())["failed"] == 1
+            await client.knows((await discovery.change("DRAINING", count=1))["revision"])
+            assert client.known == await listed(port)
+            await discovery.begin_outage("silent")  # a restart alone
+            await discovery.end_outage("renumbered")
+            assert await client.updates.get() is None
+            assert (await client.knows(1)).revision == 1
 
     asyncio.run(run())
 
 
-def test_a_watch_opened_in_silence_is_reset_at_its_end(
+def test_a_watch_opened_in_a_silent_outage_is_reset_at_its_end(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(discovery_module, "LATE_S", 0.05)
     monkeypatch.setattr(discovery_module, "ANSWER_S", 50.0)
 
     async def run() -> None:
-        async with standing() as (standin, port):
-            agent = Agent(port, wait_ms=20)
-            await agent.knows(1)
-            await standin.begin_outage("silent")
+        async with emulated_discovery() as (discovery, port):
+            client = ListClient(port, wait_ms=20)
+            await client.knows(1)
+            await discovery.begin_outage("silent")
             connected = asyncio.Event()
             connection_made = discovery_module._DiscoveryConnection.connection_made
 
@@ -173,20 +177,20 @@
 
             monkeypatch.setattr(discovery_module._DiscoveryConnection, "connection_made", made)
             await connected.wait()  # the kernel alone has taken it
-            await standin.change("DRAINING", where="region", seed=3)
-            await standin.end_outage()
-            assert await agent.told.get() is None
-            await agent.knows(2)
-            assert agent.known == await listed(port)
+            await discovery.change("DRAINING", where="region", seed=3)
+            await discovery.end_outage()
+            assert await client.updates.get() is None
+            await client.knows(2)
+            assert client.known == await listed(port)
 
     asyncio.run(run())
     assert "fell silent" in caplog.text
 
 
-def test_what_fits_no_form_is_refused_and_all_is_counted() -> None:
+def test_malformed_calls_are_refused_and_all_is_counted() -> None:
     async def run() -> None:
-        async with standing() as (standin, port):
-            asked: list[tuple[str, int]] = [
+        async with emulated_discovery() as (discovery, port):
+            requests: list[tuple[str, int]] = [
                 ("GET /catalog/members", 200),
                 ("GET /catalog/members?index=1&wait=1", 200),
                 ("GET /catalog/members?wait=0&index=1", 200),
@@ -202,7 +206,7 @@
             ]
             bytes_in = bytes_out = 0
             bodies = []
-            for line, status in asked:
+            for line, status in requests:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 request = f"{line} HTTP/1.1\r\nHost: d\r\nContent-Length: 0\r\n\r\n".encode()
                 writer.write(request)
@@ -216,7 +220,7 @@
                 writer.close()
             assert json.loads(bodies[0]) == json.loads(bodies[3])
             assert json.loads(bodies[1])["members"] == []
-            counts = await standin.count()
+            counts = await discovery.status()
             expected = {
                 "calls": 12,
                 "whole": 2,
@@ -234,44 +238,44 @@
     asyncio.run(run())
 
 
-def test_who_leaves_is_waited_for_no_more() -> None:
+def test_a_client_that_disconnects_waits_no_more() -> None:
     async def run() -> None:
-        async with standing() as (standin, port):
+        async with emulated_discovery() as (discovery, port):
             for wait_ms, leaves in ((50, True), (100, False)):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(f"GET /catalog/members?index=1&wait={wait_ms} HTTP/1.1\r\n\r\n".encode())
-                await until(standin, waiting=1)
+                await until(discovery, waiting=1)
                 if not leaves:
                     assert b"200 OK" in await reader.readline()
                 writer.close()
-                await until(standin, waiting=0)
-            await until(standin, left=1, empty=1)
+                await until(discovery, waiting=0)
+            await until(discovery, left=1, empty=1)
 
     asyncio.run(run())
 
 
-def test_large_answers_go_out_so_many_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(standin_module, "LARGE_AT_ONCE", 2)
+def test_only_some_large_responses_are_written_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(large_responses, "MAX_CONCURRENT_RESPONSES", 2)
 
     async def run() -> None:
-        async with standing(servers=20_000) as (standin, port):
-            agent = Agent(port)
-            await agent.knows(1)
-            await until(standin, waiting=1)
+        async with emulated_discovery(servers=20_000) as (discovery, port):
+            client = ListClient(port)
+            await client.knows(1)
+            await until(discovery, waiting=1)
             stalled = []
             for n in range(5):
                 sock = socket.socket()
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SEND_BUFFER)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SEND_BUFFER_BYTES)
                 sock.setblocking(False)
                 await asyncio.get_running_loop().sock_connect(sock, ("127.0.0.1", port))
                 stalled.append(await asyncio.open_connection(sock=sock, limit=1024))
                 stalled[-1][1].write(b"GET /catalog/members HTTP/1.1\r\n\r\n")
-                await until(standin, calls=n + 3)  # in this order
-            await until(standin, queued=3)
-            await standin.change("DRAINING", count=1)
-            assert len((await agent.knows(2)).entries) == 1  # what is small goes past them
+                await until(discovery, calls=n + 3)  # in this order
+            await until(discovery, queued=3)
+            await discovery.change("DRAINING", count=1)
+            assert len((await client.knows(2)).entries) == 1  # what is small goes past them
             stalled.pop()[1].close()  # the last leaves
-            await until(standin, queued=2)
+            await until(discovery, queued=2)
             revisions = []
             for reader, writer in stalled:
                 head = await reader.readuntil(b"\r\n\r\n")
@@ -279,10 +283,10 @@
                 revisions.append(json.loads(await reader.readexactly(length))["revision"])
                 writer.close()
                 if len(revisions) == 1:
-                    await until(standin, queued=1)  # the first that waited has begun
-                    await standin.change("DRAINING", count=1)
+                    await until(discovery, queued=1)  # the first that waited has begun
+                    await discovery.change("DRAINING", count=1)
             assert revisions == [1, 1, 2, 3]  # what had not begun is answered with what is known by then
-            counts = await standin.count()
+            counts = await discovery.status()
             assert counts["queue_most"] == 3
             assert counts["left"] == 1
             assert counts["queued"] == 0
@@ -290,21 +294,21 @@
     asyncio.run(run())
 
 
-def test_single_changes_drip_until_they_are_stopped() -> None:
+def test_steady_changes_go_on_until_they_are_stopped() -> None:
     async def run() -> None:
-        async with standing() as (standin, port):
-            agent = Agent(port)
-            await standin.drip(per_s=1000.0, seed=1)
-            told = (await agent.knows(7)).revision
-            await standin.drip(per_s=0)
-            revision = (await standin.count())["revision"]
-            if told < revision:
-                await agent.knows(revision)
-            assert agent.known == await listed(port)
-            changes = (await standin.made())["changes"]
+        async with emulated_discovery() as (discovery, port):
+            client = ListClient(port)
+            await discovery.set_steady_changes(per_s=1000.0, seed=1)
+            known_revision = (await client.knows(7)).revision
+            await discovery.set_steady_changes(per_s=0)
+            revision = (await discovery.status())["revision"]
+            if known_revision < revision:
+                await client.knows(revision)
+            assert client.known == await listed(port)
+            changes = (await discovery.published_changes())["changes"]
             assert [c[0] for c in changes] == list(range(2, revision + 1))
             assert {c[2] for c in changes} == {1}
-            draining = [m for m in agent.known.values() if m.endpoint.status is EndpointStatus.DRAINING]
+            draining = [m for m in client.known.values() if m.endpoint.status is EndpointStatus.DRAINING]
             assert len(draining) == (revision - 1) % 2
 
     asyncio.run(run())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -25,7 +25,7 @@
     RequestArrived,
 )
 from nickelmount.fleet.agent_config import config
-from nickelmount.fleet.emulated_discovery import Standin
+from nickelmount.fleet.emulated_discovery import EmulatedDiscovery
 from nickelmount.fleet.experiment import Agents, Experiment
 from nickelmount.fleet.hollow_agents import Hollow
 from tests.balancer_driver import SAFE, SECOND, Drive
@@ -256,7 +256,7 @@
 @pytest.mark.parametrize("history", ["kept", "gone", "renumbered"])
 def test_agents_that_come_back_in_the_middle_of_an_outage_end_with_the_list(history: Any) -> None:
     async def run() -> None:
-        standin = Standin()
+        standin = EmulatedDiscovery()
         e = Experiment(name="x", agents=Agents(siblings=1))
         try:
             begun = await standin.start(300, 7, 3, 4, 5, [9001], 10)
@@ -275,10 +275,10 @@
             for a in agents[::2]:
                 a.start()
             await standin.change("SERVING", replaced=True)
-            revision = (await standin.count())["revision"]
+            revision = (await standin.status())["revision"]
             while not all(a.had(revision, ended["at_ns"]) for a in agents):
                 await asyncio.sleep(0.02)
-            serving = {x.id for x in standin._catalog.entries("SERVING")}
+            serving = standin.serving_ids()
             for a in agents:
                 assert {s.id for s in a.agent._balancer.ready} == serving == set(a.agent._backends._members)
                 a.end()
