--- a/nickelmount/fleet/steady_changes.py
+++ b/nickelmount/fleet/steady_changes.py
@@ -13,10 +13,10 @@
 class SteadyChanges:
     """One change at a time: a server drains, and with the next change is ready again as restarted.
 
-    `catalog` returns the list to change; `on_change` is called after each change.
+    `catalog` returns the list to change. `on_change` is called after each change; what it returns is not used.
     """
 
-    def __init__(self, catalog: Callable[[], Catalog], on_change: Callable[[], None]) -> None:
+    def __init__(self, catalog: Callable[[], Catalog], on_change: Callable[[], object]) -> None:
         self._catalog, self._on_change = catalog, on_change
         self._task: asyncio.Task[None] | None = None
         self._drained_id: str | None = None  # drained by the last change, and ready again with the next
