--- a/nickelmount/fleet/steady_changes.py
+++ b/nickelmount/fleet/steady_changes.py
@@ -13,7 +13,7 @@
 class SteadyChanges:
     """One change at a time: a server drains, and with the next change is ready again as restarted.
 
-    `catalog` returns the list to change. `on_change` is called after each change; what it returns is not used.
+    `catalog` returns the list to change. `on_change` is called after each change; its result is not used.
     """
 
     def __init__(self, catalog: Callable[[], Catalog], on_change: Callable[[], object]) -> None:
