--- a/nickelmount/fleet/emulated_endpoints.py
+++ b/nickelmount/fleet/emulated_endpoints.py
@@ -1,6 +1,7 @@
-"""Plain map servers on loopback, many listening sockets of one process.
+"""Emulated endpoints: ``python -m nickelmount.fleet.emulated_endpoints``.
 
-They lie on both paths that are measured, through an agent and directly, so each does as little as it can.
+Many listening sockets on loopback in one process. They lie on both paths that are measured, through an agent
+and directly, so each does as little as it can.
 """
 
 from __future__ import annotations
@@ -14,174 +15,202 @@
 
 from . import role
 
-BODY = b"done"
-PROBES = (b"/_load", b"/ping")
-SMOOTHING = 0.1  # the part of the newest request in the latency that a server reports
+RESPONSE_BODY = b"done"
+PROBE_TARGETS = (b"/_load", b"/ping")
+ACCEPT_QUEUE = 512
+LATENCY_SMOOTHING = 0.1  # the weight of the newest request in the latency that is reported
 
 
-class Counts:
-    """What has reached the map servers of this process so far."""
+class EndpointCounts:
+    """What has reached the endpoints of this process so far."""
 
     def __init__(self) -> None:
         self.requests = self.probes = self.connections = 0
-        self.seen: set[bytes] = set()  # Request-Ids
-        self.seen_twice: set[bytes] = set()
+        self.seen_ids: set[bytes] = set()  # of requests, by their Request-Id
+        self.repeated_ids: set[bytes] = set()
 
 
-class MapServer:
-    """One listening socket and the load that it reports."""
+class EmulatedEndpoint:
+    """One listening socket, and the load that it reports."""
 
-    def __init__(self, counts: Counts, work_s: float) -> None:
+    def __init__(self, counts: EndpointCounts, work_s: float) -> None:
         self.counts, self.work_s = counts, work_s
-        self.inflight = 0
-        self.latency_ms = 0.0
-        self.connections: set[Connection] = set()
+        self.in_flight = 0
+        self.connections: set[EndpointConnection] = set()
+        self._mean_latency_ms = 0.0
         self._listener: asyncio.Server | None = None
 
     async def listen(self) -> int:
-        """Returns the port, which the system picks."""
+        """Listen, and return the port, which the system picks."""
         loop = asyncio.get_running_loop()
-        self._listener = await loop.create_server(lambda: Connection(self, loop), "127.0.0.1", 0, backlog=512)
+        self._listener = await loop.create_server(
+            lambda: EndpointConnection(self, loop), "127.0.0.1", 0, backlog=ACCEPT_QUEUE
+        )
         return int(self._listener.sockets[0].getsockname()[1])
 
-    def load(self) -> bytes:
-        return b"inflight=%d,queue=0,latency_ms=%.3f" % (self.inflight, self.latency_ms)
+    def record_latency(self, latency_ms: float) -> None:
+        """Take the latency of one request into the mean that is reported."""
+        weight = LATENCY_SMOOTHING if self._mean_latency_ms else 1.0
+        self._mean_latency_ms += weight * (latency_ms - self._mean_latency_ms)
+
+    def load_report(self) -> bytes:
+        """Return its load, as the Server-Load header has it."""
+        return b"inflight=%d,queue=0,latency_ms=%.3f" % (self.in_flight, self._mean_latency_ms)
 
     def close(self) -> None:
+        """Stop listening and close all connections."""
         if self._listener is not None:
             self._listener.close()
         for connection in self.connections:
             connection.abort()
 
 
-class Connection(asyncio.Protocol):
-    """A connection to a map server; one request at a time."""
+class EndpointConnection(asyncio.Protocol):
+    """A connection to an endpoint; one request at a time."""
 
-    def __init__(self, server: MapServer, loop: asyncio.AbstractEventLoop) -> None:
-        self._server, self._loop = server, loop
+    def __init__(self, endpoint: EmulatedEndpoint, loop: asyncio.AbstractEventLoop) -> None:
+        self._endpoint, self._loop = endpoint, loop
         self._parser: HttpRequestParser | None = HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._target = self._id = b""
-        self._began = 0.0
-        self._working: asyncio.TimerHandle | None = None
+        self._target = self._request_id = b""
+        self._started_s = 0.0
+        self._work_timer: asyncio.TimerHandle | None = None  # of the request in flight
 
-    # asyncio's side
+    # Callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count it."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._server.connections.add(self)
-        self._server.counts.connections += 1
+        self._endpoint.connections.add(self)
+        self._endpoint.counts.connections += 1
 
     def data_received(self, data: bytes) -> None:
+        """Parse bytes of a request; bytes that are none are answered with 400."""
         if self._parser is None:  # closing
             return
         try:
             self._parser.feed_data(data)
         except (HttpParserError, HttpParserUpgrade):
-            self._answer(b"400 Bad Request", b"", last=True)
+            self._respond(b"400 Bad Request", b"", close=True)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._server.connections.discard(self)
-        self._parser = None  # each holds the other
-        if self._working is not None:  # the client has given up
-            self._working.cancel()
-            self._working = None
-            self._server.inflight -= 1
+        """Give up the request in flight."""
+        self._endpoint.connections.discard(self)
+        self._parser = None  # parser and connection refer to each other
+        if self._work_timer is not None:
+            self._work_timer.cancel()
+            self._work_timer = None
+            self._endpoint.in_flight -= 1
 
     def abort(self) -> None:
+        """Close at once."""
         if self._transport is not None:
             self._transport.abort()
 
-    # llhttp's side
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        self._target = self._id = b""
+        """Begin a request."""
+        self._target = self._request_id = b""
 
     def on_url(self, url: bytes) -> None:
+        """Take in a part of its target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take in a header."""
         if name.lower() == b"request-id":
-            self._id = value
+            self._request_id = value
 
     def on_message_complete(self) -> None:
-        server, counts = self._server, self._server.counts
-        if self._working is not None:
-            self._answer(b"400 Bad Request", b"", last=True)
-        elif self._target in PROBES:
-            counts.probes += 1
-            self._answer(b"200 OK", server.load())
-        elif not self._id:
-            self._answer(b"404 Not Found", b"")
+        """Answer a probe, start to work on a request, or refuse what is neither."""
+        endpoint = self._endpoint
+        if self._work_timer is not None:
+            self._respond(b"400 Bad Request", b"", close=True)
+        elif self._target in PROBE_TARGETS:
+            endpoint.counts.probes += 1
+            self._respond(b"200 OK", endpoint.load_report())
+        elif not self._request_id:
+            self._respond(b"404 Not Found", b"")
+        else:
+            self._start_work()
+
+    def _start_work(self) -> None:
+        endpoint, counts = self._endpoint, self._endpoint.counts
+        counts.requests += 1
+        is_repeated = self._request_id in counts.seen_ids
+        (counts.repeated_ids if is_repeated else counts.seen_ids).add(self._request_id)
+        self._started_s = self._loop.time()
+        endpoint.in_flight += 1
+        if endpoint.work_s > 0:
+            self._work_timer = self._loop.call_later(endpoint.work_s, self._finish_work)
         else:
-            counts.requests += 1
-            (counts.seen_twice if self._id in counts.seen else counts.seen).add(self._id)
-            self._began = self._loop.time()
-            server.inflight += 1
-            if server.work_s > 0:
-                self._working = self._loop.call_later(server.work_s, self._finish)
-            else:
-                self._finish()
-
-    def _finish(self) -> None:
-        server, self._working = self._server, None
-        server.inflight -= 1
-        took_ms = (self._loop.time() - self._began) * 1000
-        server.latency_ms += (SMOOTHING if server.latency_ms else 1.0) * (took_ms - server.latency_ms)
-        self._answer(b"200 OK", BODY)
-
-    def _answer(self, status: bytes, body: bytes, last: bool = False) -> None:
+            self._finish_work()
+
+    def _finish_work(self) -> None:
+        self._work_timer = None
+        self._endpoint.in_flight -= 1
+        self._endpoint.record_latency((self._loop.time() - self._started_s) * 1000)
+        self._respond(b"200 OK", RESPONSE_BODY)
+
+    def _respond(self, status: bytes, body: bytes, close: bool = False) -> None:
         assert self._transport is not None
+        connection_header = b"Connection: close\r\n" if close else b""
         self._transport.write(
             b"HTTP/1.1 %s\r\nServer-Load: %s\r\n%sContent-Length: %d\r\n\r\n%s"
-            % (status, self._server.load(), b"Connection: close\r\n" if last else b"", len(body), body)
+            % (status, self._endpoint.load_report(), connection_header, len(body), body)
         )
-        if last:
+        if close:
             self._transport.close()
 
 
-class MapServers:
-    """The role: all map servers of this process."""
+class EmulatedEndpoints:
+    """The role: all endpoints of this process. Its public coroutines are the commands."""
 
     def __init__(self) -> None:
-        self._counts = Counts()
-        self._servers: list[MapServer] = []
+        self._counts = EndpointCounts()
+        self._endpoints: list[EmulatedEndpoint] = []
 
     async def start(self, ports: int, work_ms: float = 0.0) -> dict[str, Any]:
-        """Open so many listening sockets; each request is answered after `work_ms`, at once where it is 0."""
-        if self._servers:
+        """Open so many listening sockets; each request is answered after `work_ms`, at once where it is 0.
+
+        Answers with their ports. Raises ValueError where the arguments make no sense, or on a second start.
+        """
+        if self._endpoints:
             raise ValueError("started already")
         if ports < 1 or not (math.isfinite(work_ms) and work_ms >= 0):
             raise ValueError("ports from 1 and work_ms from 0 are wanted")
-        self._servers = [MapServer(self._counts, work_ms / 1000) for _ in range(ports)]
-        opened = [await s.listen() for s in self._servers]
+        self._endpoints = [EmulatedEndpoint(self._counts, work_ms / 1000) for _ in range(ports)]
+        opened = [await endpoint.listen() for endpoint in self._endpoints]
         gc.collect()
-        gc.freeze()  # collections while it serves pass over what is there for good
+        gc.freeze()  # collections while it serves pass over what stays until the end anyway
         return {"ports": opened}
 
     async def counts(self) -> dict[str, Any]:
-        """What has come since the start; `connections` are those accepted, open or not."""
-        c = self._counts
+        """Return the counts since the start, and the usage; `connections` are those accepted, open or not."""
+        counts = self._counts
         return {
-            "requests": c.requests,
-            "probes": c.probes,
-            "connections": c.connections,
-            "ids_seen_twice": len(c.seen_twice),
+            "requests": counts.requests,
+            "probes": counts.probes,
+            "connections": counts.connections,
+            "ids_seen_twice": len(counts.repeated_ids),
             **role.usage(),
         }
 
     def close(self) -> None:
-        for server in self._servers:
-            server.close()
+        """Close all listening sockets and connections."""
+        for endpoint in self._endpoints:
+            endpoint.close()
 
 
 async def main() -> None:
-    servers = MapServers()
+    """Run the role until its input ends."""
+    endpoints = EmulatedEndpoints()
     try:
-        await role.serve({"start": servers.start, "counts": servers.counts})
+        await role.serve({"start": endpoints.start, "counts": endpoints.counts})
     finally:
-        servers.close()
+        endpoints.close()
 
 
 if __name__ == "__main__":
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -17,7 +17,7 @@
 
 from nickelmount.fleet import request_tracker
 from nickelmount.fleet.arrivals import arrival_times_ns
-from nickelmount.fleet.emulated_endpoints import MapServers
+from nickelmount.fleet.emulated_endpoints import EmulatedEndpoints
 from nickelmount.fleet.load_connections import LoadConnectionPool
 from nickelmount.fleet.load_generator import (
     AgentTarget,
@@ -60,7 +60,7 @@
 
 def test_every_request_is_answered_once_and_counts_in_its_phase_and_path() -> None:
     async def body() -> None:
-        servers, tracker = MapServers(), new_tracker()
+        servers, tracker = EmulatedEndpoints(), new_tracker()
         ports = (await servers.start(2, work_ms=1.0))["ports"]
         pools = [LoadConnectionPool(port, tracker.end) for port in ports]
         started: list[tuple[LoadConnectionPool, RequestPath, str, int]] = [
@@ -149,7 +149,7 @@
 
 def test_no_connection_is_reused_before_its_delay() -> None:
     async def body() -> None:
-        servers, tracker = MapServers(), new_tracker()
+        servers, tracker = EmulatedEndpoints(), new_tracker()
         pool = LoadConnectionPool((await servers.start(1))["ports"][0], tracker.end)
         await pool.open_ahead(1)
         for last_used_ns, connections in ((0, 1), (0, 1), (time.monotonic_ns() + 10**12, 2)):
@@ -182,7 +182,7 @@
 
 def test_requests_due_while_the_loop_is_blocked_count_their_lateness() -> None:
     async def body() -> None:
-        servers, tracker = MapServers(), new_tracker()
+        servers, tracker = EmulatedEndpoints(), new_tracker()
         pool = LoadConnectionPool((await servers.start(1))["ports"][0], tracker.end)
         await pool.open_ahead(6)
         stream = RequestStream(
@@ -210,7 +210,7 @@
 
 def test_an_endpoint_answers_probes_and_reports_its_load() -> None:
     async def body() -> None:
-        servers = MapServers()
+        servers = EmulatedEndpoints()
         port = (await servers.start(1, work_ms=20_000.0))["ports"][0]
         clients: list[Conversation] = []
 
