--- a/nickelmount/fleet/emulated_discovery.py
+++ b/nickelmount/fleet/emulated_discovery.py
@@ -17,13 +17,13 @@
 from nickelmount.agent.http import HttpMessage, encode_response
 from nickelmount.errors import HttpError
 
-from .catalog import Catalog, Phase, Where, generate, pick
 from .discovery_messages import DiscoveryCounts, HistoryAfterOutage, OutageKind, PublishedChange
 from .large_responses import LARGE_RESPONSE_BYTES, LargeResponseQueue
 from .list_calls import parse_list_call
 from .listening_port import ListeningPort
 from .role import Command, run, serve, usage
 from .steady_changes import SteadyChanges, unix_time_ms
+from .versioned_list import Phase, VersionedList, Where, generate, pick
 from .waiting_watches import SLOT_S, WaitingWatches
 from .watch_connection import WatchConnection
 
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self.counts = DiscoveryCounts()
         self._loop = asyncio.get_running_loop()
-        self._catalog = Catalog([], 0)
+        self._list = VersionedList([], 0)
         self._responses: dict[int | None, bytes] = {}  # head and body, by base revision, until a change
         self._outage: OutageKind | None = None
         self._port = ListeningPort(lambda: WatchConnection(self))
@@ -49,7 +49,7 @@
         self._large_responses = LargeResponseQueue(self._loop, self._respond)
         self._recent_calls_ns: deque[int] = deque()  # within BURST_WINDOW_NS
         self._published: deque[PublishedChange] = deque(maxlen=MAX_PUBLISHED_CHANGES)
-        self._steady_changes = SteadyChanges(lambda: self._catalog, lambda: self._publish(1))
+        self._steady_changes = SteadyChanges(lambda: self._list, lambda: self._publish(1))
 
     # Commands
 
@@ -84,14 +84,14 @@
         if self._port.is_reserved:
             raise ValueError("started already")
         entries = generate(servers, seed, regions, zones_per_region, racks_per_zone, ports)
-        self._catalog = Catalog(entries, history, revision)
+        self._list = VersionedList(entries, history, revision)
         self._port.reserve()
         await self._port.open()
         self._answer_expired()
         return {
             "port": self._port.number,
-            "revision": self._catalog.revision,
-            "list_bytes": len(self._catalog.answer(None)),
+            "revision": self._list.revision,
+            "list_bytes": len(self._list.response_body(None)),
             "at_ns": time.monotonic_ns(),
         }
 
@@ -113,10 +113,10 @@
         msgspec.convert(phase, Phase)
         random = Random(seed)
         if phase == "SERVING":
-            restored = self._catalog.restore(unix_time_ms(), random if replaced else None)
+            restored = self._list.restore(unix_time_ms(), random if replaced else None)
             return self._publish(len(restored))
-        ids = pick(self._catalog.entries("SERVING"), where, random, share=share, count=count)
-        self._catalog.change(ids, phase)
+        ids = pick(self._list.entries("SERVING"), where, random, share=share, count=count)
+        self._list.change(ids, phase)
         return self._publish(len(ids))
 
     async def begin_outage(self, kind: OutageKind) -> dict[str, Any]:
@@ -145,11 +145,11 @@
         msgspec.convert(history, HistoryAfterOutage)
         await self._disconnect_all()
         if history != "kept":
-            self._catalog.forget_history(renumber=history == "renumbered")
+            self._list.forget_history(renumber=history == "renumbered")
             self._responses.clear()
         self._outage = None
         await self._port.open()
-        return {"at_ns": time.monotonic_ns(), "revision": self._catalog.revision}
+        return {"at_ns": time.monotonic_ns(), "revision": self._list.revision}
 
     async def set_steady_changes(self, per_s: float, seed: int = 0) -> dict[str, Any]:
         """Publish so many single changes a second from now on; 0: none any more."""
@@ -165,7 +165,7 @@
             "open": len(self._connections),
             "waiting": len(self._waiting),
             "queued": len(self._large_responses),
-            "revision": self._catalog.revision,
+            "revision": self._list.revision,
             **usage(),
         }
 
@@ -175,7 +175,7 @@
 
     def serving_ids(self) -> set[str]:
         """Return the ids of the servers that serve."""
-        return {entry.id for entry in self._catalog.entries("SERVING")}
+        return {entry.id for entry in self._list.entries("SERVING")}
 
     async def close(self) -> None:
         """Stop serving, and give the port back."""
@@ -191,7 +191,7 @@
     def _publish(self, changed: int) -> dict[str, Any]:
         """Answer all watches that wait for the change just made to `changed` entries."""
         at_ns = time.monotonic_ns()
-        revision = self._catalog.revision
+        revision = self._list.revision
         if changed:
             self._published.append(PublishedChange(revision, at_ns, changed))
             self._responses.clear()
@@ -252,7 +252,7 @@
         except HttpError as error:
             return self._refuse(connection, error.status)
         connection.call = call
-        if call.wait_ms and call.index == self._catalog.revision:
+        if call.wait_ms and call.index == self._list.revision:
             self._waiting.add(connection, self._loop.time(), call.wait_ms)
             self.counts.peak_waiting = max(self.counts.peak_waiting, len(self._waiting))
         else:
@@ -283,7 +283,7 @@
     def _answer(self, connection: WatchConnection) -> None:
         """Answer a call now, or in its turn where the response is large."""
         assert connection.call is not None
-        base = self._catalog.base(connection.call.index)
+        base = self._list.base_revision(connection.call.index)
         if len(self._response(base)) <= LARGE_RESPONSE_BYTES:
             self._respond(connection)
             return
@@ -295,7 +295,7 @@
         """Write the response with what is known by now."""
         call, connection.call = connection.call, None
         assert call is not None
-        base = self._catalog.base(call.index)
+        base = self._list.base_revision(call.index)
         self._count_response(base)
         response = self._response(base)
         self.counts.bytes_sent += len(response)
@@ -308,7 +308,7 @@
     def _count_response(self, base: int | None) -> None:
         if base is None:
             self.counts.full_lists += 1
-        elif base == self._catalog.revision:
+        elif base == self._list.revision:
             self.counts.empty += 1
         else:
             self.counts.deltas += 1
@@ -317,7 +317,7 @@
         """Return the response to a client that has revision `base`; None: with the complete list."""
         response = self._responses.get(base)
         if response is None:
-            body = self._catalog.answer(base)
+            body = self._list.response_body(base)
             response = encode_response(200, [("Content-Type", "application/json")], body)
             self._responses[base] = response
         return response
--- a/nickelmount/fleet/runner.py
+++ b/nickelmount/fleet/runner.py
@@ -14,9 +14,9 @@
 from hdrh.histogram import HdrHistogram
 
 from .agent_config import METHOD, REQUEST_CLASS, config
-from .catalog import generate
 from .experiment import Change, Drip, Event, Experiment, Outage, Restart
 from .role_process import Role
+from .versioned_list import generate
 
 MEMORY_SHARE = 0.5  # of the machine's, at most
 START_S = 120.0  # the most that all roles may take to start and to end, besides the time of the file
--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -31,9 +31,9 @@
 )
 
 from .agent_config import config
-from .catalog import Catalog, generate
 from .experiment import Experiment
 from .role import run, serve, usage
+from .versioned_list import VersionedList, generate
 
 CHANGES = 200  # single ones, each timed
 SECONDS = 20  # of requests, on the module's clock
@@ -58,7 +58,7 @@
             "zones_per_region": self._e.servers.zones_per_region,
             "racks_per_zone": self._e.servers.racks_per_zone,
         }
-        self._catalog = Catalog(generate(servers, seed, ports=[9000], **shape), CHANGES)
+        self._catalog = VersionedList(generate(servers, seed, ports=[9000], **shape), CHANGES)
         empty = {"revision": 0, "complete": True, "members": []}
         clock = Clock()
         self._config = config_from(config(self._e, 0, 9, empty), {}, clock)
@@ -79,7 +79,7 @@
         self._told(self._config.list_parser.parse(json.loads(body)), ListUpdateKind.DELTA)
 
     def figures(self) -> dict[str, float]:
-        body = self._catalog.answer(None)
+        body = self._catalog.response_body(None)
         gc.collect()
         before_mb = usage()["rss_mb"]
         _, whole_us = _timed(lambda: self._take(body))
@@ -107,7 +107,7 @@
             catalog.restore(time.time_ns() // 1_000_000)
         else:
             catalog.change([self._random.choice(catalog.entries()).id], "DRAINING")
-        body = catalog.answer(before)
+        body = catalog.response_body(before)
         self._now += 100_000
         return _timed(lambda: self._take(body))[1]
 
--- a/nickelmount/fleet/steady_changes.py
+++ b/nickelmount/fleet/steady_changes.py
@@ -7,17 +7,17 @@
 from collections.abc import Callable
 from random import Random
 
-from .catalog import Catalog
+from .versioned_list import VersionedList
 
 
 class SteadyChanges:
     """One change at a time: a server drains, and with the next change is ready again as restarted.
 
-    `catalog` returns the list to change. `on_change` is called after each change; its result is not used.
+    `get_list` returns the list to change. `on_change` is called after each change; its result is not used.
     """
 
-    def __init__(self, catalog: Callable[[], Catalog], on_change: Callable[[], object]) -> None:
-        self._catalog, self._on_change = catalog, on_change
+    def __init__(self, get_list: Callable[[], VersionedList], on_change: Callable[[], object]) -> None:
+        self._get_list, self._on_change = get_list, on_change
         self._task: asyncio.Task[None] | None = None
         self._drained_id: str | None = None  # drained by the last change, and ready again with the next
 
@@ -41,14 +41,14 @@
             self._change_one(random)
 
     def _change_one(self, random: Random) -> None:
-        catalog = self._catalog()
+        versioned_list = self._get_list()
         drained_id, self._drained_id = self._drained_id, None
-        if drained_id is not None and catalog.phase(drained_id) == "DRAINING":
-            catalog.change([drained_id], "SERVING", up_since_ms=unix_time_ms())
+        if drained_id is not None and versioned_list.phase(drained_id) == "DRAINING":
+            versioned_list.change([drained_id], "SERVING", started_at_ms=unix_time_ms())
             self._on_change()
-        elif serving := catalog.entries("SERVING"):
+        elif serving := versioned_list.entries("SERVING"):
             self._drained_id = random.choice(serving).id
-            catalog.change([self._drained_id], "DRAINING")
+            versioned_list.change([self._drained_id], "DRAINING")
             self._on_change()
 
 
