--- /dev/null
+++ b/nickelmount/fleet/agent_messages.py
@@ -0,0 +1,29 @@
+"""What the processes of agents answer the runner. The keys are those on the wire."""
+
+from __future__ import annotations
+
+import msgspec
+
+
+class WorkerStatus(msgspec.Struct, frozen=True):
+    """The answer of a process of hollow agents to the command `counts`."""
+
+    agents: int  # that run
+    lists: int  # received since the start, over all agents
+    failed_calls: int = msgspec.field(name="broken")  # to discovery, of the agents that run
+    cpu_s: float
+    rss_mb: float
+
+
+class AgentUsage(msgspec.Struct, frozen=True):
+    """What the process of one real agent uses."""
+
+    cpu_s: float  # over all its restarts
+    rss_mb: float
+    alive: float  # 1.0, or 0.0 where it has ended
+
+
+class AgentUsages(msgspec.Struct, frozen=True):
+    """The answer of the process that keeps the real agents to the command `counts`."""
+
+    agents: list[AgentUsage]
--- a/nickelmount/fleet/agent_processes.py
+++ b/nickelmount/fleet/agent_processes.py
@@ -1,6 +1,6 @@
-"""Keeps the real agents: processes of ``python -m nickelmount``, started, restarted and looked at here.
+"""The process that keeps the real agents: ``python -m nickelmount.fleet.agent_processes``.
 
-They end with this process, which ends with its input.
+Real agents are processes of ``python -m nickelmount``. They end with this process, which ends with its input.
 """
 
 from __future__ import annotations
@@ -17,90 +17,105 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import psutil
 
+from .agent_messages import AgentUsage, AgentUsages
+from .errors import RoleError
 from .role import run, serve
 
-READY_S = 60.0
-STOP_S = 1.0
-LISTENS = re.compile(rb"listens on [\d.]+:(\d+)")
+READY_TIMEOUT_S = 60.0
+STOP_TIMEOUT_S = 1.0  # then an agent that does not end is killed
+HEALTH_POLL_INTERVAL_S = 0.01
+_LISTENING = re.compile(rb"listens on [\d.]+:(\d+)")  # in the log of an agent
 
 
-class RealAgent:
+class AgentProcess:
     """One agent: its process, and the address that it keeps over restarts."""
 
     def __init__(self, config: dict[str, Any], folder: Path) -> None:
-        self._config, self._path = config, folder / f"{config['name']}.json"
-        self._drain: asyncio.Task[None] | None = None
-        self.process: asyncio.subprocess.Process | None = None
+        self._config, self._config_path = config, folder / f"{config['name']}.json"
+        self._log_reader: asyncio.Task[None] | None = None
+        self._process: asyncio.subprocess.Process | None = None
+        self._used_s = 0.0  # processor time of its processes that have ended
         self.port = 0
-        self.used_s = 0.0  # processor time of its earlier lives
 
     async def start(self) -> float:
-        """Seconds until it answers that it is ready."""
-        self._path.write_text(json.dumps(self._config))
-        began = time.monotonic()
-        env = {**os.environ, "RELAY_CONFIG": str(self._path)}
-        self.process = await asyncio.create_subprocess_exec(
+        """Start it, and return the seconds until it answered that it is ready.
+
+        Raises RoleError where it ends instead, and TimeoutError.
+        """
+        self._config_path.write_text(json.dumps(self._config))
+        started_s = time.monotonic()
+        environment = {**os.environ, "RELAY_CONFIG": str(self._config_path)}
+        self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "nickelmount",
-            env=env,
+            env=environment,
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
         )
-        async with asyncio.timeout(READY_S):
-            self.port = await self._listens()
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            self.port = await self._listening_port(self._process)
             self._config["listen"] = f"127.0.0.1:{self.port}"
-            while not await self._healthy():
-                await asyncio.sleep(0.01)
-        return time.monotonic() - began
-
-    async def _listens(self) -> int:
-        assert self.process is not None
-        assert self.process.stderr is not None
-        last = b""
-        while line := await self.process.stderr.readline():
-            last = line
-            if found := LISTENS.search(line):
-                self._drain = asyncio.create_task(_read_all(self.process.stderr))
-                return int(found[1])
-        raise RuntimeError(f"agent did not start: {last.decode(errors='replace').strip()}")
-
-    async def _healthy(self) -> bool:
+            await self._poll_until_healthy()
+        return time.monotonic() - started_s
+
+    async def _listening_port(self, process: asyncio.subprocess.Process) -> int:
+        """Read its log until it names the port."""
+        assert process.stderr is not None
+        last_line = b""
+        while line := await process.stderr.readline():
+            last_line = line
+            if match := _LISTENING.search(line):
+                self._log_reader = asyncio.create_task(_discard_all(process.stderr))
+                return int(match[1])
+        raise RoleError(f"agent did not start: {last_line.decode(errors='replace').strip()}")
+
+    async def _poll_until_healthy(self) -> None:
+        """Ask again and again: another process has no event that could be waited for."""
+        while True:
+            if await self._is_healthy():
+                return
+            await asyncio.sleep(HEALTH_POLL_INTERVAL_S)
+
+    async def _is_healthy(self) -> bool:
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             writer.write(b"GET /_health HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
-            line = await reader.readline()
+            status_line = await reader.readline()
             writer.close()
         except OSError:
             return False
-        return b" 200 " in line
+        return b" 200 " in status_line
 
-    async def end(self, how: signal.Signals) -> None:
-        process, self.process = self.process, None
+    async def end(self, signal_number: signal.Signals) -> None:
+        """Send it a signal and wait; one that does not end by its timeout is killed."""
+        process, self._process = self._process, None
         if process is None:
             return
         with contextlib.suppress(psutil.NoSuchProcess):
-            self.used_s += _cpu_s(psutil.Process(process.pid))
+            self._used_s += _cpu_s(psutil.Process(process.pid))
         with contextlib.suppress(ProcessLookupError):
-            process.send_signal(how)
+            process.send_signal(signal_number)
         try:
-            async with asyncio.timeout(STOP_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 await process.wait()
         except TimeoutError:
             process.kill()
             await process.wait()
-        if self._drain is not None:
-            await self._drain
+        if self._log_reader is not None:
+            await self._log_reader
 
-    def usage(self) -> dict[str, float]:
-        """Processor seconds over all its lives, and resident memory in MB."""
-        if self.process is None or self.process.returncode is not None:
-            return {"cpu_s": self.used_s, "rss_mb": 0.0, "alive": 0.0}
-        p = psutil.Process(self.process.pid)
-        return {"cpu_s": self.used_s + _cpu_s(p), "rss_mb": p.memory_info().rss / 1e6, "alive": 1.0}
+    def usage(self) -> AgentUsage:
+        """Return its processor time over all restarts, and its resident memory."""
+        if self._process is None or self._process.returncode is not None:
+            return AgentUsage(cpu_s=self._used_s, rss_mb=0.0, alive=0.0)
+        process = psutil.Process(self._process.pid)
+        rss_mb = process.memory_info().rss / 1e6
+        return AgentUsage(cpu_s=self._used_s + _cpu_s(process), rss_mb=rss_mb, alive=1.0)
 
 
 def _cpu_s(process: psutil.Process) -> float:
@@ -108,47 +123,57 @@
     return float(times.user + times.system)
 
 
-async def _read_all(stream: asyncio.StreamReader) -> None:
-    """What it logs is not kept, but a full pipe would hold it up."""
+async def _discard_all(stream: asyncio.StreamReader) -> None:
+    """Read what an agent logs: a full pipe would block its next write, and with it the agent."""
     while await stream.read(65536):
         pass
 
 
-class Keeper:
-    """All real agents of a run."""
+class AgentProcesses:
+    """The role: all real agents of a run. Its public coroutines are the commands."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
-        self._agents: list[RealAgent] = []
+        self._agents: list[AgentProcess] = []
 
     async def start(self, configs: list[dict[str, Any]]) -> dict[str, Any]:
-        ready = []
-        for config in configs:  # one by one: the time to be ready is not to be that of a crowd
-            self._agents.append(RealAgent(config, self._folder))
-            ready.append(await self._agents[-1].start())
-        return {"ports": [a.port for a in self._agents], "ready_s": ready}
+        """Start an agent with each configuration; answers with their ports and seconds until ready.
+
+        One by one: started together, they would compete for processors, and the times would be too long.
+        """
+        ready_s = []
+        for config in configs:
+            agent = AgentProcess(config, self._folder)
+            self._agents.append(agent)
+            ready_s.append(await agent.start())
+        return {"ports": [agent.port for agent in self._agents], "ready_s": ready_s}
 
     async def restart(self, indices: list[int]) -> dict[str, Any]:
-        ready = []
-        for i in indices:
-            await self._agents[i].end(signal.SIGKILL)
-            ready.append(await self._agents[i].start())
-        return {"ready_s": ready}
+        """Kill and start these agents, one by one; answers with their seconds until ready."""
+        ready_s = []
+        for index in indices:
+            await self._agents[index].end(signal.SIGKILL)
+            ready_s.append(await self._agents[index].start())
+        return {"ready_s": ready_s}
 
     async def counts(self) -> dict[str, Any]:
-        return {"agents": [a.usage() for a in self._agents]}
+        """Return the keys of AgentUsages."""
+        usages: dict[str, Any] = msgspec.to_builtins(AgentUsages([agent.usage() for agent in self._agents]))
+        return usages
 
     async def end(self) -> None:
-        await asyncio.gather(*(a.end(signal.SIGKILL) for a in self._agents))
+        """Kill all agents."""
+        await asyncio.gather(*(agent.end(signal.SIGKILL) for agent in self._agents))
 
 
 async def main() -> None:
+    """Run the role until its input ends."""
     with tempfile.TemporaryDirectory(prefix="nickelmount-fleet-") as folder:
-        keeper = Keeper(Path(folder))
+        agents = AgentProcesses(Path(folder))
         try:
-            await serve({"start": keeper.start, "restart": keeper.restart, "counts": keeper.counts})
+            await serve({"start": agents.start, "restart": agents.restart, "counts": agents.counts})
         finally:
-            await keeper.end()
+            await agents.end()
 
 
 if __name__ == "__main__":
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -1,8 +1,9 @@
-"""Hollow agents, many in a process: list, watch and decision state of real ones, without an application.
+"""A process of hollow agents: ``python -m nickelmount.fleet.hollow_agents``.
 
-Each is the agent's own Agent with a Balancer, a Discovery, a ListingParser and Backends of its own; only the
-application's side is never opened. `shared` lets those of one process share the entries of equal lists, which
-no two real agents do: figures of memory and of taking in a list are then not an agent's.
+A hollow agent has the list, the watch and the decision state of a real one, and no clients. Each is the
+agent's own Agent with a Balancer, a DiscoveryClient, an EndpointListParser and an Upstream of its own; only
+the side of the clients is never opened. With `shared` the agents of one process share the entries of equal
+lists, which no two real agents do: figures of memory and of the time to apply a list are then not an agent's.
 """
 
 from __future__ import annotations
@@ -14,7 +15,9 @@
 from collections.abc import Callable
 from dataclasses import replace
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
+
+import msgspec
 
 from nickelmount.agent.agent import Agent
 from nickelmount.agent.clock import Clock
@@ -30,141 +33,184 @@
 from nickelmount.agent.upstream import Upstream
 from nickelmount.balancer.balancer import Balancer
 
+from .agent_messages import WorkerStatus
 from .role import run, serve, usage
 
-STARTS_AT_ONCE = 32  # then others have a turn
-CONNECTIONS = 512  # that an agent may have to map servers; a hollow one opens none
+STARTS_PER_ITERATION = 32  # of the event loop; then the agents started before get to run
+MAX_ENDPOINT_CONNECTIONS = 512  # of an agent; a hollow one opens none
+
+
+class ReceivedList(NamedTuple):
+    """A list that an agent has applied."""
 
+    revision: int
+    at_ns: int  # of the monotonic clock
 
-class SharedParser(EndpointListParser):
-    """Gives equal lists the same entries. Only the latest whole list and change are kept."""
+
+class SharingListParser(EndpointListParser):
+    """Returns the same entries for equal lists. Only the latest complete list and delta are kept."""
 
     def __init__(self, parser: EndpointListParser) -> None:
         self._parser = parser
-        self._latest: dict[bool, tuple[Any, EndpointList]] = {}
+        self._latest: dict[
+            bool, tuple[Any, EndpointList]
+        ] = {}  # document and list, by whether it is complete
 
     def parse(self, doc: Any) -> EndpointList:
-        kind = bool(doc.get("complete")) if isinstance(doc, dict) else False
-        latest = self._latest.get(kind)
+        """Return the list of a decoded document; raises EndpointListError."""
+        is_complete = bool(doc.get("complete")) if isinstance(doc, dict) else False
+        latest = self._latest.get(is_complete)
         if latest is None or latest[0] != doc:
-            latest = self._latest[kind] = doc, self._parser.parse(doc)
+            latest = self._latest[is_complete] = doc, self._parser.parse(doc)
         return latest[1]
 
 
 class RecordingDiscoveryClient(DiscoveryClient):
-    """Notes when each list had been taken in, by the module too."""
+    """Records when each list had been applied, by the balancer too."""
 
-    def __init__(self, taken: list[tuple[int, int]], *arguments: Any) -> None:
+    def __init__(self, received: list[ReceivedList], *arguments: Any) -> None:
         super().__init__(*arguments)
-        self._taken = taken  # revision, monotonic ns
-        self.broken = 0  # calls that failed
-        self._closed = False
+        self._received = received
+        self._is_closed = False
+        self.failed_calls = 0
 
     def watch(self, told: Callable[[EndpointList | None], None]) -> None:
-        def noted(listing: EndpointList | None) -> None:
-            told(listing)
-            if listing is None:
-                self.broken += 1
+        """Watch as the base class does, and record what `told` has been called with."""
+
+        def record(endpoint_list: EndpointList | None) -> None:
+            told(endpoint_list)
+            if endpoint_list is None:
+                self.failed_calls += 1
             else:
-                self._taken.append((listing.revision, time.monotonic_ns()))
+                self._received.append(ReceivedList(endpoint_list.revision, time.monotonic_ns()))
 
-        if not self._closed:  # the timers of an agent that has ended still fire
-            super().watch(noted)
+        if not self._is_closed:  # the timers of an agent that has ended still fire
+            super().watch(record)
 
     def close(self) -> None:
-        self._closed = True
+        """Cancel the watch, and open no other."""
+        self._is_closed = True
         if self._watching is not None:
             self._watching.cancel()
 
 
-class Hollow:
-    """One hollow agent; ends and begins anew as a process would, with the list it was configured with."""
+def _build_agent(
+    config: Config, clock: Clock, number: int, seed: int, received: list[ReceivedList]
+) -> tuple[Agent, RecordingDiscoveryClient]:
+    """Build an agent from its parts, and the client of discovery that it uses."""
+    settings = replace(config.settings, instance_index=number)
+    is_local = settings.discovery_is_local
+    discovery = RecordingDiscoveryClient(
+        received,
+        config.discovery,
+        config.list_parser,
+        config.known_list.revision,
+        config.connect_timeout_us / 1e6,
+        LOCAL_WAIT_MS if is_local else WAIT_MS,
+        None if is_local else Random(seed),
+    )
+    pool = ConnectionPool(clock, config.connect_timeout_us, config.idle_timeout_us, MAX_ENDPOINT_CONNECTIONS)
+    upstream = Upstream(clock, settings.load_report_fields, pool)
+    return Agent(Balancer(settings, seed), clock, upstream, discovery), discovery
+
+
+class HollowAgent:
+    """One hollow agent. It ends and starts again as a process would, with the list it was configured with."""
 
     def __init__(self, config: Config, clock: Clock, number: int) -> None:
         self._config, self._clock, self.number = config, clock, number
-        self._lives = 0
-        self.taken: list[tuple[int, int]] = []  # over all its lives
-        self.discovery: RecordingDiscoveryClient | None = None
+        self._starts = 0
+        self._discovery: RecordingDiscoveryClient | None = None
+        self.received: list[ReceivedList] = []  # over all its starts
 
     def start(self) -> None:
-        settings = replace(self._config.settings, instance_index=self.number)
-        seed = self._config.seed + 7919 * self.number + self._lives
-        self._lives += 1
-        config, hand = self._config, settings.discovery_is_local
-        self.discovery = RecordingDiscoveryClient(
-            self.taken,
-            config.discovery,
-            config.list_parser,
-            config.known_list.revision,
-            config.connect_timeout_us / 1e6,
-            LOCAL_WAIT_MS if hand else WAIT_MS,
-            None if hand else Random(seed),
+        """Start it, with a seed of its own for each start."""
+        seed = self._config.seed + 7919 * self.number + self._starts
+        self._starts += 1
+        self.agent, self._discovery = _build_agent(
+            self._config, self._clock, self.number, seed, self.received
         )
-        pool = ConnectionPool(self._clock, config.connect_timeout_us, config.idle_timeout_us, CONNECTIONS)
-        backends = Upstream(self._clock, settings.load_report_fields, pool)
-        self.agent = Agent(Balancer(settings, seed), self._clock, backends, self.discovery)
-        self.agent.start(config.known_list)
+        self.agent.start(self._config.known_list)
 
     def end(self) -> None:
-        if self.discovery is not None:
-            self.discovery.close()
-            self.discovery = None
+        """End it; its watch is cancelled."""
+        if self._discovery is not None:
+            self._discovery.close()
+            self._discovery = None
+
+    @property
+    def is_running(self) -> bool:
+        """Whether it has started and not ended since."""
+        return self._discovery is not None
 
-    def had(self, revision: int, since_ns: int) -> int:
-        """When it had that revision or a later one, `since_ns` at the earliest; 0: it has not."""
-        return next((at for r, at in self.taken if r >= revision and at >= since_ns), 0)
+    @property
+    def failed_calls(self) -> int:
+        """The calls to discovery that failed since its latest start; 0 where it has ended."""
+        return 0 if self._discovery is None else self._discovery.failed_calls
 
+    def received_at_ns(self, revision: int, since_ns: int) -> int:
+        """Return when it had this revision or a later one, `since_ns` at the earliest; 0: not yet."""
+        return next((at_ns for held, at_ns in self.received if held >= revision and at_ns >= since_ns), 0)
 
-class Worker:
-    """A process of them."""
+
+class HollowAgentWorker:
+    """The role: the hollow agents of this process. Its public coroutines are the commands."""
 
     def __init__(self) -> None:
-        self._agents: list[Hollow] = []
+        self._agents: list[HollowAgent] = []
 
     async def start(self, config: dict[str, Any], numbers: list[int], shared: bool) -> dict[str, Any]:
+        """Start an agent with each number; answers with the usage of the process before and now."""
         gc.collect()
         before = usage()
         clock = Clock()
-        made = config_from(config, {}, clock)
+        base = config_from(config, {}, clock)
         if shared:
-            made = replace(made, list_parser=SharedParser(made.list_parser))
-        for i, number in enumerate(numbers):
-            # Its own entries of the list it has, unless they are to be shared.
-            known = made.known_list if shared else made.list_parser.parse(config["known"])
-            self._agents.append(Hollow(replace(made, known_list=known), clock, number))
-            self._agents[-1].start()
-            if i % STARTS_AT_ONCE == 0:
+            base = replace(base, list_parser=SharingListParser(base.list_parser))
+        for position, number in enumerate(numbers):
+            # Unless they are shared, each agent has entries of its own for the list that it starts with.
+            known_list = base.known_list if shared else base.list_parser.parse(config["known"])
+            agent = HollowAgent(replace(base, known_list=known_list), clock, number)
+            self._agents.append(agent)
+            agent.start()
+            if position % STARTS_PER_ITERATION == 0:
                 await asyncio.sleep(0)
         return {"before": before, **usage()}
 
     async def had(self, revision: int, since_ns: int) -> dict[str, Any]:
-        return {"at_ns": [a.had(revision, since_ns) for a in self._agents]}
+        """Return when each agent had this revision or a later one, in the order of their numbers."""
+        return {"at_ns": [agent.received_at_ns(revision, since_ns) for agent in self._agents]}
 
     async def restart(self, numbers: list[int]) -> dict[str, Any]:
+        """End these agents, then start them; answers with the time of the end."""
         chosen = set(numbers)
         at_ns = time.monotonic_ns()
-        for agent in self._agents:
-            if agent.number in chosen:
-                agent.end()
-        for agent in self._agents:
-            if agent.number in chosen:
-                agent.start()
-                await asyncio.sleep(0)
+        agents = [agent for agent in self._agents if agent.number in chosen]
+        for agent in agents:
+            agent.end()
+        for agent in agents:
+            agent.start()
+            await asyncio.sleep(0)
         return {"at_ns": at_ns}
 
     async def counts(self) -> dict[str, Any]:
-        alive = [a.discovery for a in self._agents if a.discovery is not None]
-        return {
-            "agents": len(alive),
-            "lists": sum(len(a.taken) for a in self._agents),
-            "broken": sum(d.broken for d in alive),
-            **usage(),
-        }
+        """Return the keys of WorkerStatus."""
+        used = usage()
+        status = WorkerStatus(
+            agents=sum(agent.is_running for agent in self._agents),
+            lists=sum(len(agent.received) for agent in self._agents),
+            failed_calls=sum(agent.failed_calls for agent in self._agents),
+            cpu_s=used["cpu_s"],
+            rss_mb=used["rss_mb"],
+        )
+        keys: dict[str, Any] = msgspec.to_builtins(status)
+        return keys
 
 
 async def main() -> None:
-    logging.basicConfig(level=logging.ERROR)  # failed calls are counted
-    worker = Worker()
+    """Run the role until its input ends."""
+    logging.basicConfig(level=logging.ERROR)  # warnings of failed calls are left out; the calls are counted
+    worker = HollowAgentWorker()
     await serve(
         {"start": worker.start, "had": worker.had, "restart": worker.restart, "counts": worker.counts}
     )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -27,7 +27,7 @@
 from nickelmount.fleet.agent_config import config
 from nickelmount.fleet.emulated_discovery import EmulatedDiscovery
 from nickelmount.fleet.experiment import Agents, Experiment
-from nickelmount.fleet.hollow_agents import Hollow
+from nickelmount.fleet.hollow_agents import HollowAgent
 from tests.balancer_driver import SAFE, SECOND, Drive
 from tests.loopback import Peer, member
 
@@ -261,12 +261,12 @@
         try:
             begun = await standin.start(300, 7, 3, 4, 5, [9001], 10)
             doc = config(e, 0, begun["port"], {"revision": 0, "complete": True, "members": []})
-            agents = [Hollow(config_from(doc, {}, CLOCK), CLOCK, i) for i in range(12)]
+            agents = [HollowAgent(config_from(doc, {}, CLOCK), CLOCK, i) for i in range(12)]
             for a in agents:
                 a.start()
             for _ in range(15):  # more than the history holds
                 await standin.change("DRAINING", count=2, seed=1)
-            await turns(lambda: all(a.taken for a in agents))
+            await turns(lambda: all(a.received for a in agents))
             await standin.begin_outage("refused")
             await standin.change("DELETED", where="zone", seed=2)
             for a in agents[::2]:
@@ -276,7 +276,7 @@
                 a.start()
             await standin.change("SERVING", replaced=True)
             revision = (await standin.status())["revision"]
-            while not all(a.had(revision, ended["at_ns"]) for a in agents):
+            while not all(a.received_at_ns(revision, ended["at_ns"]) for a in agents):
                 await asyncio.sleep(0.02)
             serving = standin.serving_ids()
             for a in agents:
