--- a/nickelmount/fleet/__main__.py
+++ b/nickelmount/fleet/__main__.py
@@ -11,12 +11,18 @@
 
 import click
 
-from .experiment import Experiment, ExperimentError, read
-from .results import by_size, gathered, results, table, write
-from .role_process import Role, RoleError
-from .runner import Play, PlayError
-
-INTERRUPTED = 130  # as a shell has it after SIGINT
+from .errors import ExperimentError, RoleError, RunError
+from .experiment import Experiment, read_experiment
+from .figures import Figures
+from .results import experiment_results, results_of, write_results
+from .role_process import RoleProcess
+from .runner import ExperimentRun
+from .tables import experiment_table, scaling_table
+
+EXIT_FAILED = 1  # a run was given up
+EXIT_USAGE = 2  # an experiment or an option cannot be used
+EXIT_INTERRUPTED = 130  # as a shell has it after SIGINT
+MAX_SERVERS = 20_000
 
 OVERRIDES = click.option(
     "--set",
@@ -27,6 +33,7 @@
 )
 OUT = click.option(
     "--out",
+    "folder",
     type=click.Path(path_type=Path),
     default=Path("runs"),
     show_default=True,
@@ -44,10 +51,11 @@
 @OVERRIDES
 def check(file: Path, overrides: tuple[str, ...]) -> None:
     """Say whether an experiment file can be used."""
-    e = _read(file, overrides)
+    experiment = _read_or_exit(file, overrides)
+    agents = experiment.agents
     click.echo(
-        f"{file}: {e.name}: {e.servers.listed} servers, {e.agents.hollow} hollow and {e.agents.real} "
-        f"real agents, {len(e.events)} events in {e.seconds:g} s"
+        f"{file}: {experiment.name}: {experiment.servers.listed} servers, {agents.hollow} hollow and "
+        f"{agents.real} real agents, {len(experiment.events)} events in {experiment.measured_s:g} s"
     )
 
 
@@ -56,82 +64,90 @@
 @OVERRIDES
 @OUT
 @click.option("--quiet", is_flag=True, help="No progress.")
-def run(file: Path, overrides: tuple[str, ...], out: Path, quiet: bool) -> None:
+def run(file: Path, overrides: tuple[str, ...], folder: Path, quiet: bool) -> None:
     """Play an experiment; write its results and print a short table."""
-    e = _read(file, overrides)
-    began = time.monotonic()
+    experiment = _read_or_exit(file, overrides)
+    started_s = time.monotonic()
 
-    def say(text: str) -> None:
+    def report_progress(text: str) -> None:
         if not quiet:
-            click.echo(f"[{time.monotonic() - began:6.1f} s] {text}", err=True)
-
-    def whole() -> None:
-        plays = []
-        for n in range(e.plays):
-            say(f"{e.name}: play {n + 1} of {e.plays}")
-            plays.append(asyncio.run(Play(e, e.seed + n, say).run()))
-        made = gathered(e, plays)
-        path = write(made, out)
-        click.echo(table(made))
+            click.echo(f"[{time.monotonic() - started_s:6.1f} s] {text}", err=True)
+
+    def run_all() -> None:
+        runs = []
+        for number in range(experiment.runs):
+            report_progress(f"{experiment.name}: play {number + 1} of {experiment.runs}")
+            one_run = ExperimentRun(experiment, experiment.seed + number, report_progress)
+            runs.append(asyncio.run(one_run.run()))
+        results = experiment_results(experiment, runs)
+        path = write_results(results, folder)
+        click.echo(experiment_table(results))
         click.echo(f"  written to {path}")
 
-    _to_the_end(whole)
+    _run_or_exit(run_all)
 
 
 @main.command()
 @click.option("--sizes", default="20,200,1000,2000,6300", show_default=True, help="Servers listed.")
-@click.option("--plays", default=3, show_default=True, type=click.IntRange(1, 20))
+@click.option("--plays", "runs", default=3, show_default=True, type=click.IntRange(1, 20))
 @click.option("--seed", default=1, show_default=True)
 @OUT
-def slopes(sizes: str, plays: int, seed: int, out: Path) -> None:
+def slopes(sizes: str, runs: int, seed: int, folder: Path) -> None:
     """What lists, changes and decisions cost one agent, by the number of servers listed."""
     try:
-        counts = [int(s) for s in sizes.split(",")]
-        if min(counts) < 1 or max(counts) > 20_000:
-            raise ValueError("from 1 to 20000 servers")
-    except ValueError as e:
-        _end(f"sizes: {e}", 2)
-
-    async def play(seed: int) -> dict[str, float]:
-        found: dict[str, float] = {}
-        for servers in counts:
-            role = await Role.begin("slopes")
-            try:
-                figures = await role.call("measure", servers=servers, seed=seed)
-            finally:
-                await role.end()
-            found |= {f"{servers}.{key}": value for key, value in figures.items()}
-        return found
-
-    def whole() -> None:
-        found = [asyncio.run(play(seed + n)) for n in range(plays)]
-        made = results("slopes", seed, {"sizes": counts}, found, [])
-        path = write(made, out)
-        click.echo(by_size(made, counts))
+        counts = _parse_sizes(sizes)
+    except ValueError as error:
+        _exit(f"sizes: {error}", EXIT_USAGE)
+
+    def run_all() -> None:
+        figures = [asyncio.run(_measure_sizes(counts, seed + number)) for number in range(runs)]
+        results = results_of("slopes", seed, {"sizes": counts}, figures, [])
+        path = write_results(results, folder)
+        click.echo(scaling_table(results, counts))
         click.echo(f"  written to {path}")
 
-    _to_the_end(whole)
+    _run_or_exit(run_all)
+
+
+def _parse_sizes(sizes: str) -> list[int]:
+    counts = [int(size) for size in sizes.split(",")]
+    if min(counts) < 1 or max(counts) > MAX_SERVERS:
+        raise ValueError(f"from 1 to {MAX_SERVERS} servers")
+    return counts
+
+
+async def _measure_sizes(counts: list[int], seed: int) -> Figures:
+    """Measure each size in a process of its own, so that its memory is that of one agent."""
+    figures: Figures = {}
+    for servers in counts:
+        process = await RoleProcess.start("slopes")
+        try:
+            measured = await process.call("measure", servers=servers, seed=seed)
+        finally:
+            await process.end()
+        figures |= {f"{servers}.{key}": value for key, value in measured.items()}
+    return figures
 
 
-def _to_the_end(work: Callable[[], None]) -> None:
-    """What goes wrong is one line."""
+def _run_or_exit(work: Callable[[], None]) -> None:
+    """Do the work; a failure ends the program with one line."""
     try:
         work()
     except KeyboardInterrupt:
-        _end("interrupted", INTERRUPTED)
-    except (PlayError, RoleError, OSError, MemoryError) as e:
-        _end(" ".join(str(e).split()) or type(e).__name__, 1)
+        _exit("interrupted", EXIT_INTERRUPTED)
+    except (RunError, RoleError, OSError, MemoryError) as error:
+        _exit(" ".join(str(error).split()) or type(error).__name__, EXIT_FAILED)
 
 
-def _read(file: Path, overrides: tuple[str, ...]) -> Experiment:
+def _read_or_exit(file: Path, overrides: tuple[str, ...]) -> Experiment:
     try:
-        return read(file, overrides)
-    except ExperimentError as e:
-        _end(str(e), 2)
+        return read_experiment(file, overrides)
+    except ExperimentError as error:
+        _exit(str(error), EXIT_USAGE)
 
 
-def _end(why: str, status: int) -> NoReturn:
-    click.echo(f"fleet: {why}", err=True)
+def _exit(reason: str, status: int) -> NoReturn:
+    click.echo(f"fleet: {reason}", err=True)
     sys.exit(status)
 
 
--- a/nickelmount/fleet/role_process.py
+++ b/nickelmount/fleet/role_process.py
@@ -10,24 +10,22 @@
 import msgspec
 import psutil
 
+from .errors import RoleError
 from .role import MAX_LINE_BYTES
 
-END_S = 3.0  # then a role that does not end with its input is killed
+END_TIMEOUT_S = 3.0  # then a role that does not end with its input is killed
 
 
-class RoleError(Exception):
-    """A role could not carry out a command, or has ended."""
-
-
-class Role:
-    """A child process that takes commands. One at a time; several roles work side by side."""
+class RoleProcess:
+    """A child process that takes commands, one at a time; several roles work side by side."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name, self._process = name, process
         self._lock = asyncio.Lock()
 
     @classmethod
-    async def begin(cls, module: str) -> Role:
+    async def start(cls, module: str) -> RoleProcess:
+        """Start the role of a module of this package."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -39,39 +37,44 @@
         )
         return cls(module, process)
 
-    async def call(self, name: str, /, **arguments: Any) -> dict[str, Any]:
-        """The answer to a command; raises RoleError."""
+    async def call(self, command: str, /, **arguments: Any) -> dict[str, Any]:
+        """Return the answer to a command; raises RoleError."""
+        line = await self._exchange(msgspec.json.encode({"do": command, **arguments}) + b"\n")
+        if not line:
+            raise RoleError(f"{self.name} has ended during {command}")
+        answer = msgspec.json.decode(line, type=dict[str, Any])
+        if "error" in answer:
+            raise RoleError(f"{self.name}: {command}: {answer['error']}")
+        result: dict[str, Any] = answer["ok"]
+        return result
+
+    async def _exchange(self, line: bytes) -> bytes:
+        """Return the line that answers a line; empty where the process has ended."""
         stdin, stdout = self._process.stdin, self._process.stdout
         assert stdin is not None
         assert stdout is not None
         async with self._lock:
             try:
-                stdin.write(msgspec.json.encode({"do": name, **arguments}) + b"\n")
+                stdin.write(line)
                 await stdin.drain()
-                line = await stdout.readline()
+                return await stdout.readline()
             except ConnectionError:
-                line = b""
-        if not line:
-            raise RoleError(f"{self.name} has ended during {name}")
-        answer = msgspec.json.decode(line, type=dict[str, Any])
-        if "error" in answer:
-            raise RoleError(f"{self.name}: {name}: {answer['error']}")
-        found: dict[str, Any] = answer["ok"]
-        return found
+                return b""
 
     def memory_mb(self) -> float:
-        """Of it and its children; shared pages count once for each."""
+        """Return the resident memory of it and its children; shared pages count once for each."""
         with contextlib.suppress(psutil.NoSuchProcess):
-            p = psutil.Process(self._process.pid)
-            return float(sum(q.memory_info().rss for q in (p, *p.children(recursive=True)))) / 1e6
+            process = psutil.Process(self._process.pid)
+            family = (process, *process.children(recursive=True))
+            return float(sum(member.memory_info().rss for member in family)) / 1e6
         return 0.0
 
     async def end(self) -> None:
-        """Close its input and wait; one that does not end is killed."""
+        """Close its input and wait; one that does not end by its timeout is killed."""
         assert self._process.stdin is not None
         self._process.stdin.close()
         try:
-            async with asyncio.timeout(END_S):
+            async with asyncio.timeout(END_TIMEOUT_S):
                 await self._process.wait()
         except TimeoutError:
             self._process.kill()
--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -1,6 +1,7 @@
-"""What lists, changes and decisions cost one agent, by the number of servers listed: parser and module alone.
+"""What lists, changes and decisions cost one agent, by the number of servers listed.
 
-One size and one play is one fresh process, so that memory is that of one agent.
+Measured on the list parser and the balancer alone, without sockets. Each size of each run is measured in a
+process of its own: ``python -m nickelmount.fleet.slopes``, so that its memory is that of one agent.
 """
 
 from __future__ import annotations
@@ -10,14 +11,16 @@
 import resource
 import statistics
 import time
+from collections import deque
 from collections.abc import Callable
 from dataclasses import replace
 from random import Random
-from typing import Any
+from typing import Any, TypeVar
 
 from nickelmount.agent.clock import Clock
-from nickelmount.agent.config import config_from
+from nickelmount.agent.config import Config, config_from
 from nickelmount.agent.connection_pool import ConnectionPool
+from nickelmount.agent.discovery import EndpointList
 from nickelmount.agent.upstream import Upstream
 from nickelmount.balancer.actions import Action, SendAttempt
 from nickelmount.balancer.balancer import Balancer
@@ -32,124 +35,138 @@
 
 from .agent_config import config
 from .experiment import Experiment
+from .figures import Figures, quantile
 from .role import run, serve, usage
+from .steady_changes import unix_time_ms
 from .versioned_list import VersionedList, generate
 
 CHANGES = 200  # single ones, each timed
-SECONDS = 20  # of requests, on the module's clock
-RATE = 70  # requests a second, as SCALE has it
-ANSWER_US = 20_000  # an answer takes so long
+REPEATED_LISTS = 5
+REQUESTS_S = 20  # on the balancer's clock
+REQUEST_RATE_PER_S = 70  # as the capacity page of the operators has it
+REQUEST_TIMEOUT_US = 2_000_000
+ANSWER_US = 20_000  # until an answer, on the balancer's clock
+CHANGE_INTERVAL_US = 100_000  # on the balancer's clock
 
+Result = TypeVar("Result")
 
-def _timed(call: Callable[[], Any]) -> tuple[Any, float]:
-    began = time.perf_counter_ns()
-    found = call()
-    return found, (time.perf_counter_ns() - began) / 1e3
 
+def _timed(call: Callable[[], Result]) -> tuple[Result, float]:
+    """Return the result of a call, and how long it took, in us."""
+    started_ns = time.perf_counter_ns()
+    result = call()
+    return result, (time.perf_counter_ns() - started_ns) / 1e3
 
-class One:
-    """An agent's list and decisions, without its sockets."""
 
-    def __init__(self, servers: int, seed: int) -> None:
-        self._random = Random(seed)
-        self._e = Experiment(name="slopes", seed=seed)
-        shape = {
-            "regions": self._e.servers.regions,
-            "zones_per_region": self._e.servers.zones_per_region,
-            "racks_per_zone": self._e.servers.racks_per_zone,
-        }
-        self._catalog = VersionedList(generate(servers, seed, ports=[9000], **shape), CHANGES)
-        empty = {"revision": 0, "complete": True, "members": []}
-        clock = Clock()
-        self._config = config_from(config(self._e, 0, 9, empty), {}, clock)
-        settings = replace(self._config.settings, instance_count=max(1, servers))
-        pool = ConnectionPool(clock, self._config.connect_timeout_us, self._config.idle_timeout_us, 512)
-        self._backends = Upstream(clock, settings.load_report_fields, pool)
-        self._balancer = Balancer(settings, seed)
-        self._now = 1_000_000
-        self._told(self._config.known_list, ListUpdateKind.CACHED)
+def _build_upstream_and_balancer(
+    agent_config: Config, clock: Clock, instance_count: int, seed: int
+) -> tuple[Upstream, Balancer]:
+    """Build the parts of an agent that apply lists and decide."""
+    settings = replace(agent_config.settings, instance_count=instance_count)
+    pool = ConnectionPool(clock, agent_config.connect_timeout_us, agent_config.idle_timeout_us, 512)
+    return Upstream(clock, settings.load_report_fields, pool), Balancer(settings, seed)
 
-    def _handle(self, event: Event) -> list[Action]:
-        return self._balancer.handle(self._now, event)
-
-    def _told(self, listing: Any, kind: ListUpdateKind) -> None:
-        self._handle(EndpointsChanged(kind, self._backends.apply(listing)))
 
-    def _take(self, body: bytes) -> None:
-        self._told(self._config.list_parser.parse(json.loads(body)), ListUpdateKind.DELTA)
+class ScalingProbe:
+    """An agent's list and decisions, without its sockets, at one number of servers."""
 
-    def figures(self) -> dict[str, float]:
-        body = self._catalog.response_body(None)
+    def __init__(self, servers: int, seed: int) -> None:
+        self._random = Random(seed)
+        experiment = Experiment(name="slopes", seed=seed)
+        layout = experiment.servers
+        entries = generate(
+            servers,
+            seed,
+            regions=layout.regions,
+            zones_per_region=layout.zones_per_region,
+            racks_per_zone=layout.racks_per_zone,
+            ports=[9000],
+        )
+        self._list = VersionedList(entries, CHANGES)
+        clock = Clock()
+        empty_list = {"revision": 0, "complete": True, "members": []}
+        self._config = config_from(config(experiment, 0, 9, empty_list), {}, clock)
+        self._upstream, self._balancer = _build_upstream_and_balancer(
+            self._config, clock, max(1, servers), seed
+        )
+        self._now_us = 1_000_000  # of the balancer's clock
+        self._apply(self._config.known_list, ListUpdateKind.CACHED)
+
+    def figures(self) -> Figures:
+        """Measure lists, then changes, then decisions."""
+        body = self._list.response_body(None)
         gc.collect()
         before_mb = usage()["rss_mb"]
-        _, whole_us = _timed(lambda: self._take(body))
-        again = [_timed(lambda: self._take(body))[1] for _ in range(5)]
+        _, first_us = _timed(lambda: self._receive(body))
+        repeated_us = [_timed(lambda: self._receive(body))[1] for _ in range(REPEATED_LISTS)]
         memory_mb = usage()["rss_mb"] - before_mb
-        changes = [self._change() for _ in range(CHANGES)]
-        decisions = self._decisions()
+        changes_us = [self._change() for _ in range(CHANGES)]
+        decisions_us = sorted(self._decisions())
         return {
             "whole.size.bytes": float(len(body)),
-            "whole.first.ms": whole_us / 1e3,
-            "whole.again.ms": statistics.median(again) / 1e3,
-            "change.p50.us": statistics.median(changes),
-            "change.most.us": max(changes),
-            "decision.p50.us": statistics.median(decisions),
-            "decision.p99.us": _at(decisions, 0.99),
-            "decision.most.us": max(decisions),
+            "whole.first.ms": first_us / 1e3,
+            "whole.again.ms": statistics.median(repeated_us) / 1e3,
+            "change.p50.us": statistics.median(changes_us),
+            "change.most.us": max(changes_us),
+            "decision.p50.us": statistics.median(decisions_us),
+            "decision.p99.us": quantile(decisions_us, 0.99),
+            "decision.most.us": max(decisions_us),
             "memory.mb": memory_mb,
             "memory_most.mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1e3,
         }
 
+    def _handle(self, event: Event) -> list[Action]:
+        return self._balancer.handle(self._now_us, event)
+
+    def _apply(self, endpoint_list: EndpointList, kind: ListUpdateKind) -> None:
+        self._handle(EndpointsChanged(kind, self._upstream.apply(endpoint_list)))
+
+    def _receive(self, body: bytes) -> None:
+        self._apply(self._config.list_parser.parse(json.loads(body)), ListUpdateKind.DELTA)
+
     def _change(self) -> float:
-        """One server drains, or one that did is back."""
-        catalog, before = self._catalog, self._catalog.revision
-        if len(catalog.entries("SERVING")) < len(catalog.entries()):
-            catalog.restore(time.time_ns() // 1_000_000)
+        """Return how long one change takes, in us: a server drains, or the one that did is ready again."""
+        versioned_list, base = self._list, self._list.revision
+        if len(versioned_list.entries("SERVING")) < len(versioned_list.entries()):
+            versioned_list.restore(unix_time_ms())
         else:
-            catalog.change([self._random.choice(catalog.entries()).id], "DRAINING")
-        body = catalog.response_body(before)
-        self._now += 100_000
-        return _timed(lambda: self._take(body))[1]
+            versioned_list.change([self._random.choice(versioned_list.entries()).id], "DRAINING")
+        body = versioned_list.response_body(base)
+        self._now_us += CHANGE_INTERVAL_US
+        return _timed(lambda: self._receive(body))[1]
 
     def _decisions(self) -> list[float]:
-        """Each request's arrival and its answer, in the module, in microseconds."""
-        took: list[float] = []
-        ends: list[tuple[int, AttemptEnded]] = []
-        for number in range(1, SECONDS * RATE + 1):
-            self._now += 1_000_000 // RATE
-            while ends and ends[0][0] <= self._now:
-                _, end = ends.pop(0)
-                took[end.request_id - 1] += _timed(lambda end=end: self._handle(end))[1]  # type: ignore[misc]
-            arrived = RequestArrived(number, 0, 2_000_000)
-            actions, us = _timed(lambda arrived=arrived: self._handle(arrived))  # type: ignore[misc]
-            took.append(us)
-            for send in actions:
-                if isinstance(send, SendAttempt):
-                    ends.append(
-                        (
-                            self._now + ANSWER_US,
-                            AttemptEnded(
-                                number,
-                                send.attempt,
-                                send.endpoint_id,
-                                Outcome.OK,
-                                ANSWER_US,
-                                True,
-                                (1.0, 0.0, 10.0),
-                            ),
-                        )
-                    )
-        return took
-
-
-def _at(values: list[float], share: float) -> float:
-    ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+        """Return how long the balancer takes for each request, in us: its arrival and its answers."""
+        durations_us: list[float] = []
+        attempts: deque[tuple[int, AttemptEnded]] = deque()  # in flight, by the time of their end
+        for request_id in range(1, REQUESTS_S * REQUEST_RATE_PER_S + 1):
+            self._now_us += 1_000_000 // REQUEST_RATE_PER_S
+            while attempts and attempts[0][0] <= self._now_us:
+                _, end = attempts.popleft()
+                durations_us[end.request_id - 1] += self._timed_handle(end)[1]
+            actions, duration_us = self._timed_handle(RequestArrived(request_id, 0, REQUEST_TIMEOUT_US))
+            durations_us.append(duration_us)
+            for action in actions:
+                if isinstance(action, SendAttempt):
+                    attempts.append((self._now_us + ANSWER_US, _answer_to(request_id, action)))
+        return durations_us
+
+    def _timed_handle(self, event: Event) -> tuple[list[Action], float]:
+        return _timed(lambda: self._handle(event))
+
+
+def _answer_to(request_id: int, attempt: SendAttempt) -> AttemptEnded:
+    load_report = (1.0, 0.0, 10.0)
+    return AttemptEnded(
+        request_id, attempt.attempt, attempt.endpoint_id, Outcome.OK, ANSWER_US, True, load_report
+    )
 
 
 async def main() -> None:
+    """Run the role until its input ends."""
+
     async def measure(servers: int, seed: int) -> dict[str, Any]:
-        return dict(One(servers, seed).figures())
+        return dict(ScalingProbe(servers, seed).figures())
 
     await serve({"measure": measure})
 
--- a/tests/test_fleet_runner.py
+++ b/tests/test_fleet_runner.py
@@ -1,4 +1,4 @@
-"""The small fleet as a person runs it: it counts right, tells a fault in one line, and leaves nothing."""
+"""The fleet tool as a person runs it: it counts right, reports a fault in one line, and leaves no process."""
 
 from __future__ import annotations
 
@@ -13,8 +13,10 @@
 import psutil
 import pytest
 
-from nickelmount.fleet import runner as play
-from nickelmount.fleet.experiment import read
+from nickelmount.fleet import runner
+from nickelmount.fleet.errors import RunError
+from nickelmount.fleet.experiment import read_experiment
+from nickelmount.fleet.runner import ExperimentRun
 
 ROOT = Path(__file__).parent.parent
 SMALL = ROOT / "experiments" / "small.toml"
@@ -38,18 +40,21 @@
 def test_every_agent_has_the_last_change_and_no_request_is_lost(tmp_path: Path) -> None:
     ended = fleet("run", SMALL, "--quiet", "--out", tmp_path)
     assert ended.returncode == 0, ended.stderr
-    found = figures(tmp_path)
-    reached = {name: x for name, x in found.items() if name.endswith(".reached.share")}
-    assert len(reached) == 5 and set(reached.values()) == {1.0}, reached
-    calls = {name: x for name, x in found.items() if name.startswith("calls.") and name.endswith(".count")}
+    measured = figures(tmp_path)
+    reached = {name: x for name, x in measured.items() if name.endswith(".reached.share")}
+    assert len(reached) == 5, reached
+    assert set(reached.values()) == {1.0}, reached
+    calls = {name: x for name, x in measured.items() if name.startswith("calls.") and name.endswith(".count")}
     assert sum(x for name, x in calls.items() if name.endswith(".calls.count")) > 200
     assert sum(x for name, x in calls.items() if name.endswith(".lost.count")) == 0, calls
-    assert found["servers.seen_twice.count"] == 0
-    assert found["discovery.whole.count"] >= 24  # the history was gone: each agent needed the whole list
+    assert measured["servers.seen_twice.count"] == 0
+    assert (
+        measured["discovery.whole.count"] >= 24
+    )  # the history was gone: each agent needed the complete list
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         ("name = 'x'\nseconds = 'long'", "seconds: Expected `float`, got `str`"),
         ("name = 'x'\n[agents]\nreel = 2", "agents: Object contains unknown field `reel`"),
@@ -63,7 +68,7 @@
     ],
 )
 def test_a_file_that_cannot_be_used_is_one_line_with_key_and_fault(
-    tmp_path: Path, text: str, told: str
+    tmp_path: Path, text: str, message: str
 ) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(text)
@@ -71,7 +76,7 @@
     assert ended.returncode == 2
     assert not ended.stdout
     (line,) = ended.stderr.splitlines()
-    assert told in line
+    assert message in line
     assert str(path) in line
 
 
@@ -79,11 +84,12 @@
     none = tmp_path / "none.toml"
     for arguments in ([none], [SMALL, "--set", "agents.real=many"], [SMALL, "--set", "seed"]):
         ended = fleet("run", *arguments)
-        assert ended.returncode == 2 and len(ended.stderr.splitlines()) == 1, ended.stderr
+        assert ended.returncode == 2, ended.stderr
+        assert len(ended.stderr.splitlines()) == 1, ended.stderr
 
 
 def running_fleet(out: Path) -> subprocess.Popen[str]:
-    """One whose first event has come."""
+    """A run whose first event has happened."""
     command = [sys.executable, "-m", "nickelmount.fleet", "run", str(SMALL), "--out", str(out)]
     running = subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True)
     assert running.stderr is not None
@@ -94,30 +100,34 @@
 
 def test_an_interrupt_ends_it_and_leaves_no_process_behind(tmp_path: Path) -> None:
     with running_fleet(tmp_path) as running:
-        left = psutil.Process(running.pid).children(recursive=True)
-        assert len(left) >= 7  # map servers, discovery, two workers, keeper, agent, client
+        children = psutil.Process(running.pid).children(recursive=True)
+        # Endpoints, discovery, two workers, the keeper of agents, an agent, load generator.
+        assert len(children) >= 7
         running.send_signal(signal.SIGINT)
         assert running.wait(20) == 130
         assert running.stderr is not None
         assert running.stderr.read().splitlines()[-1] == "fleet: interrupted"
-    _, alive = psutil.wait_procs(left, timeout=10)
+    _, alive = psutil.wait_procs(children, timeout=10)
     assert not alive
     assert not list(tmp_path.iterdir())
 
 
 def test_a_runner_that_is_killed_leaves_no_process_behind(tmp_path: Path) -> None:
     with running_fleet(tmp_path) as running:
-        left = psutil.Process(running.pid).children(recursive=True)
+        children = psutil.Process(running.pid).children(recursive=True)
         running.kill()
-    _, alive = psutil.wait_procs(left, timeout=10)
+    _, alive = psutil.wait_procs(children, timeout=10)
     assert not alive
 
 
-@pytest.mark.parametrize(("bound", "told"), [("MEMORY_SHARE", "memory: "), ("START_S", "not over within")])
-def test_a_play_that_passes_its_bounds_is_given_up_and_leaves_no_process(
-    monkeypatch: pytest.MonkeyPatch, bound: str, told: str
+@pytest.mark.parametrize(
+    ("limit", "value", "message"),
+    [("MAX_MEMORY_SHARE", 1e-6, "memory: "), ("START_AND_END_TIMEOUT_S", -22.0, "not over within")],
+)
+def test_a_run_that_exceeds_a_limit_is_given_up_and_leaves_no_process(
+    monkeypatch: pytest.MonkeyPatch, limit: str, value: float, message: str
 ) -> None:
-    monkeypatch.setattr(play, bound, 1e-6 if bound == "MEMORY_SHARE" else -22.0)
-    with pytest.raises(play.PlayError, match=told):
-        asyncio.run(play.Play(read(SMALL), 1, lambda _: None).run())
+    monkeypatch.setattr(runner, limit, value)
+    with pytest.raises(RunError, match=message):
+        asyncio.run(ExperimentRun(read_experiment(SMALL), 1, lambda _: None).run())
     assert not psutil.Process().children(recursive=True)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -26,7 +26,7 @@
 )
 from nickelmount.fleet.agent_config import config
 from nickelmount.fleet.emulated_discovery import EmulatedDiscovery
-from nickelmount.fleet.experiment import Agents, Experiment
+from nickelmount.fleet.experiment import AgentSettings, Experiment
 from nickelmount.fleet.hollow_agents import HollowAgent
 from tests.balancer_driver import SAFE, SECOND, Drive
 from tests.loopback import Peer, member
@@ -257,7 +257,7 @@
 def test_agents_that_come_back_in_the_middle_of_an_outage_end_with_the_list(history: Any) -> None:
     async def run() -> None:
         standin = EmulatedDiscovery()
-        e = Experiment(name="x", agents=Agents(siblings=1))
+        e = Experiment(name="x", agents=AgentSettings(instance_count=1))
         try:
             begun = await standin.start(300, 7, 3, 4, 5, [9001], 10)
             doc = config(e, 0, begun["port"], {"revision": 0, "complete": True, "members": []})
