--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,9 +22,9 @@
 )
 from nickelmount.balancer.slow_start import WarmUpRamp
 from nickelmount.fleet.agent_config import config
-from nickelmount.fleet.emulated_discovery import Standin
-from nickelmount.fleet.experiment import Agents, Experiment
-from nickelmount.fleet.hollow_agents import Hollow
+from nickelmount.fleet.emulated_discovery import EmulatedDiscovery
+from nickelmount.fleet.experiment import AgentSettings, Experiment
+from nickelmount.fleet.hollow_agents import HollowAgent
 
 from .balancer_driver import IDEMPOTENT, SECOND, BalancerDriver
 
@@ -123,17 +123,17 @@
 @pytest.mark.parametrize("history", ["kept", "gone", "renumbered"])
 def test_agents_that_come_back_in_the_middle_of_an_outage_end_with_the_list(history: Any) -> None:
     async def run() -> None:
-        standin = Standin()
-        e = Experiment(name="x", agents=Agents(siblings=1))
+        standin = EmulatedDiscovery()
+        e = Experiment(name="x", agents=AgentSettings(instance_count=1))
         try:
             begun = await standin.start(300, 7, 3, 4, 5, [9001], 10)
             doc = config(e, 0, begun["port"], {"revision": 0, "complete": True, "members": []})
-            agents = [Hollow(config_from(doc, {}, CLOCK), CLOCK, i) for i in range(12)]
+            agents = [HollowAgent(config_from(doc, {}, CLOCK), CLOCK, i) for i in range(12)]
             for a in agents:
                 a.start()
             for _ in range(15):  # more than the history holds
                 await standin.change("DRAINING", count=2, seed=1)
-            await turns(lambda: all(a.taken for a in agents))
+            await turns(lambda: all(a.received for a in agents))
             await standin.begin_outage("refused")
             await standin.change("DELETED", where="zone", seed=2)
             for a in agents[::2]:
@@ -142,10 +142,10 @@
             for a in agents[::2]:
                 a.start()
             await standin.change("SERVING", replaced=True)
-            revision = (await standin.count())["revision"]
-            while not all(a.had(revision, ended["at_ns"]) for a in agents):
+            revision = (await standin.status())["revision"]
+            while not all(a.received_at_ns(revision, ended["at_ns"]) for a in agents):
                 await asyncio.sleep(0.02)
-            serving = {x.id for x in standin._catalog.entries("SERVING")}
+            serving = standin.serving_ids()
             for a in agents:
                 assert (
                     {s.id for s in a.agent._balancer.endpoints.ready}
