--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -12,7 +12,8 @@
     quota.py                which requests are beyond their tenant's quota
     endpoint_set.py         what discovery has listed; subset.py: the part of it that is sampled
     load_table.py           what each endpoint holds and how fast it works; gossip.py: told by other balancers
-    watch_backoff.py        when the watch of the endpoint list is opened again
+    endpoint_watch.py       when the watch of the endpoint list is opened
+    feedback.py             what the end of an attempt teaches
 """
 
 from __future__ import annotations
@@ -34,6 +35,7 @@
 from .admission import AdmissionControl
 from .endpoint import TrackedEndpoint
 from .endpoint_set import EndpointSet
+from .endpoint_watch import EndpointWatch
 from .events import (
     NEVER_RAN,
     AttemptEnded,
@@ -48,6 +50,7 @@
     ResponseStarted,
     TimerFired,
 )
+from .feedback import AttemptFeedback
 from .gossip import Gossip
 from .hedging import HedgingPolicy
 from .load_table import HALF_WEIGHT_AGE_US, LoadTable
@@ -57,13 +60,12 @@
 from .request import Attempt, RandomDraws, Request, check_arrival
 from .retry import RetryBudget, RetryRules
 from .sampling import MAX_DRAWS, EligibilityRules, Sampler
-from .settings import DiscoveryMode, Settings
+from .settings import Settings
 from .slow_start import SlowStart, WarmUpRamp
 from .subset import Subset
 from .timers import TimerQueue
 from .traffic import ArrivalRate
 from .units import MILLISECOND_US
-from .watch_backoff import WatchBackoff
 
 NO_ENDPOINT_RECHECK_US = (
     20 * MILLISECOND_US
@@ -117,8 +119,8 @@
             hears_all=self.gossip.is_enabled,
         )
         self.sampler = Sampler(rules, self.table, self.subset, rng)
-        self.watch_backoff = WatchBackoff(settings)
-        self._is_watching = False
+        self._feedback = AttemptFeedback(self.table, self.outliers, self.quotas, self.gossip, self._emit)
+        self._watch = EndpointWatch(settings, rng)
         self._handlers: dict[type, Callable[[Any], None]] = {
             EndpointsChanged: self._on_endpoints_changed,
             RequestArrived: self._on_request_arrived,
@@ -160,26 +162,17 @@
     # The endpoint list
 
     def _on_endpoints_changed(self, event: EndpointsChanged) -> None:
-        if event.kind is ListUpdateKind.FAILED:
-            self._is_watching = False
-            delay_us = self.watch_backoff.delay_after_failure_us(self._rng)
-            self._schedule(self.now_us + delay_us, self._open_watch, None)
-            return
-        if event.kind is not ListUpdateKind.CACHED:
-            self.watch_backoff.reset()
-        self.endpoints.apply(event, self.now_us)
-        self._choose_subset()
-        if self.settings.discovery_mode is not DiscoveryMode.POLL or self._is_watching:
-            return
-        if event.kind is ListUpdateKind.CACHED and self.watch_backoff.spreads_first_call:
-            delay_us = self.watch_backoff.first_call_delay_us(self._rng)
-            self._schedule(self.now_us + delay_us, self._open_watch, None)
-        else:
+        if event.kind is not ListUpdateKind.FAILED:
+            self.endpoints.apply(event, self.now_us)
+            self._choose_subset()
+        delay_us = self._watch.delay_after_us(event.kind)
+        if delay_us == 0:
             self._open_watch(None)
+        elif delay_us is not None:
+            self._schedule(self.now_us + delay_us, self._open_watch, None)
 
     def _open_watch(self, _: None) -> None:
-        if not self._is_watching:
-            self._is_watching = True
+        if self._watch.open():
             self._emit(WatchEndpoints())
 
     def _choose_subset(self) -> None:
@@ -356,7 +349,7 @@
         attempt = request.in_flight.pop(event.attempt)
         attempt.endpoint.in_flight.pop((request.id, event.attempt), None)
         self.in_flight_count -= 1
-        self._learn(event, attempt)
+        self._feedback.learn(event, attempt, self.now_us)
         if event.outcome in NEVER_RAN:
             request.may_have_run = [a for a in request.may_have_run if a is not attempt]
         if event.finished and not request.is_done:
@@ -370,20 +363,6 @@
         else:
             self._retry(request, event.outcome)
 
-    def _learn(self, event: AttemptEnded, attempt: Attempt) -> None:
-        """Learn from the end of an attempt, which is no longer in flight."""
-        now_us, endpoint, table = self.now_us, attempt.endpoint, self.table
-        table.attempt_ended(endpoint, event, attempt.load_at_send, now_us)
-        has_load = len(event.load_report) > table.load_column
-        if self.gossip.is_enabled and event.outcome is Outcome.OK and has_load:
-            self._actions += self.gossip.messages(endpoint, event.load_report[table.load_column] - 1)
-        # A timeout or a reset counts against an endpoint only if it has answered nothing since: else it is
-        # late, or the connection broke and not the process.
-        is_late = event.outcome in (Outcome.TIMEOUT, Outcome.RESET)
-        if not is_late or endpoint.answered_at_us <= attempt.sent_at_us:
-            self.outliers.attempt_ended(endpoint, event.outcome, now_us)
-        self.quotas.learn_traffic_share(len(endpoint.in_flight) + 1, max(0.0, endpoint.other_in_flight))
-
     def _retry(self, request: Request, outcome: Outcome) -> None:
         """Go on with a request whose attempt has ended without an answer.
 
--- a/tests/test_watch_backoff.py
+++ b/tests/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is asked for: at the start, after failures, with many instances."""
+"""The watch of the endpoint list: when it is asked for: at the start, after failures, with many instances."""
 
 from __future__ import annotations
 
