--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,9 +1,4 @@
-"""Scripted peers on loopback, and an agent between them. The system picks the ports; tests wait on events.
-
-Some failures need an order of steps that the event loop does not give by itself: bytes that are in the
-kernel and not read yet, a connection that is established late, a timer that fires first. The helpers for
-these are at the end of this module.
-"""
+"""Scripted peers on loopback, and an agent between them. The system picks the ports; tests wait on events."""
 
 from __future__ import annotations
 
@@ -11,21 +6,17 @@
 import contextlib
 import functools
 import json
-import select
 import socket
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 from typing import Any, ParamSpec
 
-import pytest
-
 from nickelmount.agent.agent import Agent
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.config import Config, load
-from nickelmount.agent.connection import Connection
-from nickelmount.agent.connection_pool import ConnectionPool, PooledConnection
-from nickelmount.agent.discovery import Address, EndpointList, EndpointListParser, ListedEndpoint
+from nickelmount.agent.connection_pool import ConnectionPool
+from nickelmount.agent.discovery import Address, EndpointList, EndpointListParser
 from nickelmount.agent.downstream import ClientTimeouts
 from nickelmount.agent.lifecycle import assemble
 from nickelmount.agent.listener import Listener
@@ -33,7 +24,7 @@
 from nickelmount.balancer.events import TimerFired
 
 KEYED, UNSAFE = "registro-servicio", "vale-almacen"  # classes: repeats are dropped by key; must not run twice
-LOAD = b"inflight=0,queue=0,util=0.1"
+LOAD_REPORT = b"inflight=0,queue=0,util=0.1"
 TEST_TIMEOUT_S = 60  # a hang fails the test; nothing is timed by this
 
 P = ParamSpec("P")
@@ -212,7 +203,7 @@
             while True:
                 message = await conversation.read()
                 if self._answers_probes and message.first.startswith("GET /_load"):
-                    await message.answer(200, LOAD)
+                    await message.answer(200, LOAD_REPORT)
                 else:
                     self.requests.put_nowait(message)
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -382,70 +373,3 @@
         server.close()
         for peer in [discovery, *peers]:
             await peer.stop()
-
-
-# An order of steps that a test forces
-
-
-def wait_until_kernel_has(connection: Connection, events: int) -> None:
-    """Wait, without a cycle of the event loop, until poll reports one of these events on the socket."""
-    assert connection.transport is not None
-    poll = select.poll()
-    poll.register(connection.transport.get_extra_info("socket").fileno(), events)
-    assert poll.poll(10_000)
-
-
-def wait_until_readable(connection: Connection) -> None:
-    """Wait, without a cycle of the event loop, until bytes or a close are there to be read."""
-    wait_until_kernel_has(connection, select.POLLIN)
-
-
-async def wait_for_accepted(setup: World, count: int) -> None:
-    """Wait until the agent has accepted so many requests."""
-    while setup.agent.accepted_count < count:
-        await asyncio.sleep(0)
-
-
-class DelayedConnect:
-    """The nth connection that is opened from now on is established, and handed over only by `hand_over`."""
-
-    def __init__(self, setup: World, monkeypatch: pytest.MonkeyPatch, nth: int = 1) -> None:
-        self.established = asyncio.Event()
-        self._may_hand_over = asyncio.Event()
-        self._opens_before = nth
-        self._open = setup.pool.open
-        monkeypatch.setattr(setup.pool, "open", self._open_delayed)
-
-    def hand_over(self) -> None:
-        """Let the exchange that opened the connection run next, ahead of whoever reads from sockets."""
-        self._may_hand_over.set()
-
-    async def _open_delayed(self, listed: ListedEndpoint) -> PooledConnection:
-        self._opens_before -= 1
-        is_delayed = self._opens_before == 0
-        connection = await self._open(listed)
-        if is_delayed:
-            self.established.set()
-            await self._may_hand_over.wait()
-        return connection
-
-
-class BlockingClient:
-    """A client whose bytes and whose close reach the agent's kernel without a cycle of the event loop."""
-
-    def __init__(self, setup: World) -> None:
-        self._known = set(setup.server.connections)
-        self._setup = setup
-        self.socket = socket.create_connection(("127.0.0.1", setup.port))
-
-    async def accepted(self) -> BlockingClient:
-        """Wait until the agent has accepted the connection."""
-        while not (new := self._setup.server.connections - self._known):
-            await asyncio.sleep(0)
-        (self._agent_side,) = new
-        return self
-
-    def leave(self, how: Callable[[socket.socket], None]) -> None:
-        """Disconnect; returns once the agent's kernel knows, before the agent has read it."""
-        how(self.socket)
-        wait_until_kernel_has(self._agent_side, select.POLLRDHUP)
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -16,19 +16,17 @@
 import pytest
 
 from nickelmount.agent.downstream import ClientConnection
+from tests.event_order import BlockingClient, DelayedConnect, wait_for_accepted
 from tests.loopback import (
     KEYED,
-    LOAD,
+    LOAD_REPORT,
     UNSAFE,
-    BlockingClient,
-    DelayedConnect,
     Message,
     Peer,
     World,
     async_test,
     complete_list,
     post,
-    wait_for_accepted,
     world,
 )
 
@@ -292,8 +290,8 @@
         client.socket.send(post(UNSAFE))
         probe = await peer.requests.get()
         assert probe.first.startswith("GET /_load")
-        head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LOAD)
-        probe.peer.writer.write(head + LOAD)
+        head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LOAD_REPORT)
+        probe.peer.writer.write(head + LOAD_REPORT)
         client.leave(disconnect)
         await assert_request_left_no_trace(setup)
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -10,10 +10,10 @@
 
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.connection_pool import PooledConnection
+from tests.event_order import DelayedConnect, wait_until_readable
 from tests.loopback import (
-    LOAD,
+    LOAD_REPORT,
     UNSAFE,
-    DelayedConnect,
     Message,
     World,
     async_test,
@@ -21,7 +21,6 @@
     member,
     post,
     running_peer,
-    wait_until_readable,
     world,
 )
 
@@ -137,7 +136,7 @@
         assert setup.balancer_request_count == 0
 
 
-@pytest.mark.parametrize("late_bytes", [RESPONSE, b"HTTP/1.1 200 OK\r\n", b"\r\n", LOAD])
+@pytest.mark.parametrize("late_bytes", [RESPONSE, b"HTTP/1.1 200 OK\r\n", b"\r\n", LOAD_REPORT])
 @async_test
 async def test_late_bytes_on_an_idle_connection_reach_no_request(tmp_path: Path, late_bytes: bytes) -> None:
     """Bytes that nobody asked for arrive on an idle connection just when the next request would use it.
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,10 +15,10 @@
 
 from nickelmount.agent import listener as server_module
 from nickelmount.agent.listener import ShutdownTimes
+from tests.event_order import BlockingClient as Caller
+from tests.event_order import wait_for_accepted as taken
 from tests.loopback import UNSAFE, Conversation, Peer, config_doc, member, post, world
-from tests.loopback import BlockingClient as Caller
 from tests.loopback import complete_list as listing
-from tests.loopback import wait_for_accepted as taken
 from tests.test_reload import Running, whole
 
 NOW = ShutdownTimes(idle_s=0.0, serve_s=0.0, end_s=30.0)
