--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -17,16 +17,8 @@
 from nickelmount.protocol.endpoint_list import EndpointList
 from tests.agent_process import agent_process, complete_list, started_peers
 from tests.async_test import async_test
-from tests.loopback import (
-    UNSAFE,
-    BlockingClient,
-    Conversation,
-    config_doc,
-    member,
-    post,
-    wait_for_accepted,
-    world,
-)
+from tests.event_order import BlockingClient, wait_for_accepted
+from tests.loopback import UNSAFE, Conversation, config_doc, member, post, world
 
 NOW = ShutdownTimes(close_idle_after_s=0.0, serve_until_s=0.0, finish_by_s=30.0)
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
