--- /dev/null
+++ b/tests/test_client_input.py
@@ -0,0 +1,206 @@
+"""What clients send: a valid request reaches an endpoint, any other input is answered and goes no further."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from tests.loopback import KEYED, UNSAFE, post, world
+from tests.recording_handler import RecordingHandler
+
+HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
+CHUNKED = post(drop=("Content-Length",), body=b"", Transfer_Encoding="chunked")
+
+# The same bytes are one request by their length, two by their chunks.
+SMUGGLED = b"0\r\n\r\n" + post(body=b"hidden")
+
+INVALID_FIELDS = {
+    "no host": (post(drop=("Host",)), 400),
+    "unknown path": (post(path="/apis"), 404),
+    "unknown class": (post("paseo"), 400),
+    "no class": (post(drop=("Request-Class",)), 400),
+    "unknown tenant": (post(Tenant="nadie"), 400),
+    "no timeout": (post(drop=("Request-Timeout-Ms",)), 400),
+    "timeout 0": (post(timeout_ms="0"), 400),
+    "timeout below 0": (post(timeout_ms="-5"), 400),
+    "timeout a word": (post(timeout_ms="soon"), 400),
+    "timeout without bound": (post(timeout_ms="9" * 30), 400),
+    "no id": (post(drop=("Request-Id",)), 400),
+    "keyed without key": (post(KEYED, drop=("Idempotency-Key",)), 400),
+    "unsafe with key": (post(UNSAFE, Idempotency_Key="5c0f"), 400),
+    "wrong method": (post().replace(b"POST", b"PUT"), 400),
+}
+
+INVALID_IDS = {
+    f"id {value!r}": (post(Request_Id=value), 400) for value in ("", "a b", "a,b", "x" * 129, "\xe9", "a\tb")
+}
+
+REPEATED_FIELDS = {
+    f"{name} twice": (post().replace(b"Host:", b"%s\r\nHost:" % line), 400)
+    for name, line in {
+        "id": b"Request-Id: 77",
+        "class": b"Request-Class: vale-almacen",
+        "timeout": b"Request-Timeout-Ms: 9",
+        "key": b"Idempotency-Key: 1",
+        "tenant": b"Tenant: norvalle",
+        "host": b"Host: b",
+        "length": b"Content-Length: 3",
+        "other length": b"Content-Length: 9",
+    }.items()
+}
+
+TOO_LARGE = {
+    "header without end": (b"GET / HTTP/1.1\r\nX: " + b"x" * 40_000, 400),
+    "many headers": (
+        post()
+        .replace(b"Host:", b"X: " + b"x" * 1000 + b"\r\nHost:")
+        .replace(b"X:", b"\r\n".join(b"X%d: " % i + b"x" * 1000 for i in range(40)) + b"\r\nX:"),
+        400,
+    ),
+    "body too large": (post(body=b"x" * 65_537), 413),
+    "body far too large": (post(body=b"x" * 8_000_000), 413),  # still being sent when it is answered
+    "chunks too large": (CHUNKED + b"11170\r\n" + b"x" * 70_000 + b"\r\n0\r\n\r\n", 413),
+}
+
+INVALID_LENGTHS = {
+    f"length {value!r}": (post(drop=("Content-Length",), Content_length=value), 400)
+    for value in ("", "+3", "3, 3", "0x3", "three", "9" * 30)
+} | {
+    "negative length": (post(drop=("Content-Length",), body=b"", Content_length="-1"), 400),
+    "a request hidden in the body": (post(body=SMUGGLED, Transfer_Encoding="chunked"), 400),
+    "chunks that hide one, length last": (
+        post(drop=("Content-Length",), body=SMUGGLED, Transfer_Encoding="chunked", Content_length="5"),
+        400,
+    ),
+    "unknown coding": (post(drop=("Content-Length",), body=b"", Transfer_Encoding="gzip"), 400),
+    "bad chunk": (CHUNKED + b"zz\r\n", 400),
+}
+
+MALFORMED = {
+    "not HTTP": (b"hello\r\n\r\n", 400),
+    "two requests at once": (post() + post(Request_Id="9b20"), 400),
+    "a request and noise": (post() + b"noise", 400),
+    "space before the colon": (post().replace(b"Tenant:", b"Tenant :"), 400),
+    "folded header": (post().replace(b"Tenant:", b"X: a\r\n b\r\nTenant:"), 400),
+    "bare line ends": (post().replace(b"\r\n", b"\n"), 400),
+    "NUL in a header": (post(Tenant="nor\0valle"), 400),
+    "another protocol": (post(Connection="upgrade", Upgrade="h2c"), 400),
+    "HTTP/2.0": (post().replace(b"HTTP/1.1", b"HTTP/2.0"), 400),
+    "HTTP/0.9": (b"GET /api\r\n\r\n", 400),
+}
+
+INVALID_INPUT: dict[str, tuple[bytes, int]] = (
+    INVALID_FIELDS | INVALID_IDS | REPEATED_FIELDS | TOO_LARGE | INVALID_LENGTHS | MALFORMED
+)
+
+
+@pytest.mark.parametrize("name", INVALID_INPUT)
+def test_invalid_input_is_answered_and_not_forwarded(tmp_path: Path, name: str) -> None:
+    # Input that the agent and an endpoint read differently could run a request that no client sent, or one
+    # that was answered as failed. It is answered with an error, reaches nobody, and the next request is
+    # served.
+    sent, status = INVALID_INPUT[name]
+
+    async def run() -> None:
+        async with world(tmp_path) as w:
+            handler = RecordingHandler(w.server)
+            client = await w.ask(sent)
+            assert (await client.read()).status == status
+            assert not w.server.open_request_ids
+            assert not handler.accepted
+            # The next one is served, here with the largest body that is allowed.
+            client = await w.ask(post(body=b"x" * 65_536))
+            await (await w.request()).answer()
+            assert (await client.read()).status == 200
+            assert w.nothing_sent()
+
+    asyncio.run(run())
+
+
+def test_health_check_succeeds_while_serving(tmp_path: Path) -> None:
+    async def run() -> None:
+        async with world(tmp_path) as w:
+            for _ in range(2):
+                client = await w.ask(HEALTH_CHECK)
+                assert (await client.read()).status == 200
+
+    asyncio.run(run())
+
+
+def test_pipelined_request_gets_an_error_after_the_answer_in_flight(tmp_path: Path) -> None:
+    # A client sends a second request, and far more, before the first is answered. Neither may it be taken
+    # for the body of the first, nor fill the memory: the first is served, the second gets an error and
+    # reaches nobody.
+    async def run() -> None:
+        async with world(tmp_path) as w:
+            handler = RecordingHandler(w.server)
+            client = await w.ask(post())
+            forwarded = await w.request()
+            client.writer.write(post(Request_Id="9b20") + b"x" * 8_000_000)
+            (connection,) = w.server.connections
+            while not connection.discards_input:
+                await asyncio.sleep(0)
+            await forwarded.answer()
+            assert (await client.read()).status == 200
+            assert (await client.read()).status == 400
+            assert len(handler.accepted) == 1
+            assert w.nothing_sent()
+
+    asyncio.run(run())
+
+
+def test_duplicate_request_id_is_an_error_and_the_first_request_gets_its_answer(tmp_path: Path) -> None:
+    # Two connections use one Request-Id at once. Were both forwarded, the answer of one could be taken for
+    # that of the other. The second gets an error; once the first is answered, the id can be used again.
+    async def run() -> None:
+        async with world(tmp_path) as w:
+            handler = RecordingHandler(w.server)
+            first = await w.ask(post())
+            forwarded = await w.request()
+            second = await w.ask(post(body=b"other"))
+            assert (await second.read()).status == 409
+            await forwarded.answer(200, b"first's")
+            assert (await first.read()).body == b"first's"
+            assert len(handler.accepted) == 1
+            assert w.nothing_sent()
+            await second.write(post())
+            await (await w.request()).answer()
+            assert (await second.read()).status == 200
+
+    asyncio.run(run())
+
+
+def test_client_that_expects_100_continue_gets_it(tmp_path: Path) -> None:
+    async def run() -> None:
+        async with world(tmp_path) as w:
+            head, _, body = post(Expect="100-continue").partition(b"\r\n\r\n")
+            client = await w.ask(head + b"\r\n\r\n")
+            assert (await client.read()).status == 100
+            await client.write(body)
+            await (await w.request()).answer()
+            assert (await client.read()).status == 200
+
+    asyncio.run(run())
+
+
+@pytest.mark.parametrize("begun", [b"0\r\nX-Trailer: ", b"3\r\njob\r\n0\r\nX-Trailer: ", b"5;extension="])
+def test_unending_trailer_or_chunk_header_is_an_error_before_it_fills_the_memory(
+    tmp_path: Path, begun: bytes
+) -> None:
+    # The parser keeps all of a trailer's line: one client with 60 MB took the memory of the whole agent.
+    async def run() -> None:
+        async with world(tmp_path) as w:
+            client = await w.ask(CHUNKED + begun)
+            (connection,) = w.server.connections
+            sent_bytes = 0
+            while not connection.is_lingering and sent_bytes < 8_000_000:
+                await client.write(b"x" * 65536)
+                sent_bytes += 65536
+                await asyncio.sleep(0)
+            assert (await client.read()).status == 400
+            assert sent_bytes < 4_000_000
+            assert w.nothing_sent()
+
+    asyncio.run(run())
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""The application's side: bad input is answered and reaches nobody; a stop loses nothing."""
+"""Connections of clients: time limits, eviction at the limit on connections, start and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -8,179 +8,37 @@
 import signal
 import socket
 import sys
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 from dataclasses import replace
 from pathlib import Path
 
 import pytest
 
 from nickelmount.agent.downstream import ClientConnection, ClientTimeouts
-from tests.loopback import (
-    KEYED,
-    UNSAFE,
-    Conversation,
-    Message,
-    Peer,
-    World,
-    config_doc,
-    member,
-    post,
-    world,
-)
+from tests.loopback import UNSAFE, Conversation, Message, Peer, World, config_doc, member, post, world
+from tests.recording_handler import RecordingHandler
+from tests.test_client_input import CHUNKED, HEALTH_CHECK
 
-CHUNKED = post(drop=("Content-Length",), body=b"", Transfer_Encoding="chunked")
-BAD = {
-    "not HTTP": (b"hello\r\n\r\n", 400),
-    "no host": (post(drop=("Host",)), 400),
-    "header without end": (b"GET / HTTP/1.1\r\nX: " + b"x" * 40_000, 400),
-    "negative length": (post(drop=("Content-Length",), body=b"", Content_length="-1"), 400),
-    "unknown path": (post(path="/apis"), 404),
-    "unknown class": (post("paseo"), 400),
-    "no class": (post(drop=("Request-Class",)), 400),
-    "unknown tenant": (post(Tenant="nadie"), 400),
-    "no time-out": (post(drop=("Request-Timeout-Ms",)), 400),
-    "time-out 0": (post(timeout_ms="0"), 400),
-    "time-out below 0": (post(timeout_ms="-5"), 400),
-    "time-out a word": (post(timeout_ms="soon"), 400),
-    "time-out without bound": (post(timeout_ms="9" * 30), 400),
-    "no id": (post(drop=("Request-Id",)), 400),
-    "keyed without key": (post(KEYED, drop=("Idempotency-Key",)), 400),
-    "unsafe with key": (post(UNSAFE, Idempotency_Key="5c0f"), 400),
-    "wrong method": (post().replace(b"POST", b"PUT"), 400),
-    "body too large": (post(body=b"x" * 65_537), 413),
-    "body far too large": (post(body=b"x" * 8_000_000), 413),  # still being sent when it is answered
-    "chunks too large": (CHUNKED + b"11170\r\n" + b"x" * 70_000 + b"\r\n0\r\n\r\n", 413),
-}
-
-
-# The same bytes are one request by their length, two by their chunks.
-HIDDEN = b"0\r\n\r\n" + post(body=b"hidden")
-BAD["a request hidden in the body"] = (post(body=HIDDEN, Transfer_Encoding="chunked"), 400)
-BAD["chunks that hide one, length last"] = (
-    post(drop=("Content-Length",), body=HIDDEN, Transfer_Encoding="chunked", Content_length="5"),
-    400,
+# Every limit is exceeded by the next sweep, but for that of a connection that waits for its next request.
+EXPIRE_AT_ONCE = ClientTimeouts(
+    sweep_interval_s=0.005, first_byte_s=0.0, request_s=0.0, linger_s=0.0, evictable_after_s=0.0
 )
-BAD |= {
-    f"{name} twice": (post().replace(b"Host:", b"%s\r\nHost:" % line), 400)
-    for name, line in {
-        "id": b"Request-Id: 77",
-        "class": b"Request-Class: vale-almacen",
-        "time-out": b"Request-Timeout-Ms: 9",
-        "key": b"Idempotency-Key: 1",
-        "tenant": b"Tenant: norvalle",
-        "host": b"Host: b",
-        "length": b"Content-Length: 3",
-        "other length": b"Content-Length: 9",
-    }.items()
-}
-BAD |= {
-    f"id {value!r}": (post(Request_Id=value), 400) for value in ("", "a b", "a,b", "x" * 129, "\xe9", "a\tb")
-}
-BAD |= {
-    f"length {value!r}": (post(drop=("Content-Length",), Content_length=value), 400)
-    for value in ("", "+3", "3, 3", "0x3", "three", "9" * 30)
-}
-BAD |= {
-    "two requests at once": (post() + post(Request_Id="9b20"), 400),
-    "a request and noise": (post() + b"noise", 400),
-    "space before the colon": (post().replace(b"Tenant:", b"Tenant :"), 400),
-    "folded header": (post().replace(b"Tenant:", b"X: a\r\n b\r\nTenant:"), 400),
-    "bare line ends": (post().replace(b"\r\n", b"\n"), 400),
-    "NUL in a header": (post(Tenant="nor\0valle"), 400),
-    "unknown coding": (post(drop=("Content-Length",), body=b"", Transfer_Encoding="gzip"), 400),
-    "bad chunk": (CHUNKED + b"zz\r\n", 400),
-    "another protocol": (post(Connection="upgrade", Upgrade="h2c"), 400),
-    "HTTP/2.0": (post().replace(b"HTTP/1.1", b"HTTP/2.0"), 400),
-    "HTTP/0.9": (b"GET /api\r\n\r\n", 400),
-    "many headers": (
-        post()
-        .replace(b"Host:", b"X: " + b"x" * 1000 + b"\r\nHost:")
-        .replace(b"X:", b"\r\n".join(b"X%d: " % i + b"x" * 1000 for i in range(40)) + b"\r\nX:"),
-        400,
-    ),
-}
-
-
-@pytest.mark.parametrize("name", BAD)
-def test_bad_input_is_answered_and_goes_nowhere(tmp_path: Path, name: str) -> None:
-    request, status = BAD[name]
-
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            client = await w.ask(request)
-            assert (await client.read()).status == status
-            assert not w.agent._held
-            assert not w.agent._taken
-            # And the next one is served.
-            client = await w.ask(post(body=b"x" * 65_536))
-            await (await w.request()).answer()
-            assert (await client.read()).status == 200
-            assert w.nothing_sent()
-
-    asyncio.run(run())
-
-
-def test_health_answers_while_serving(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            for _ in range(2):
-                client = await w.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
-                assert (await client.read()).status == 200
-
-    asyncio.run(run())
+# Of so many sockets 32 are for other uses, and just over half of the rest for clients.
+SOCKETS_FOR_ONE_CLIENT, SOCKETS_FOR_TWO_CLIENTS = 34, 37
 
 
-def test_what_is_sent_ahead_is_turned_away_behind_the_answer_in_hand(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            client = await w.ask(post())
-            got = await w.request()
-            client.writer.write(post(Request_Id="9b20") + b"x" * 8_000_000)
-            (connection,) = w.server.connections
-            while not connection.discards_input:
-                await asyncio.sleep(0)
-            await got.answer()
-            assert (await client.read()).status == 200
-            assert (await client.read()).status == 400
-            assert w.agent._taken == 1
-            assert w.nothing_sent()
-
-    asyncio.run(run())
-
-
-def test_an_open_id_is_turned_away_elsewhere_and_its_owner_keeps_its_answer(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            owner = await w.ask(post())
-            got = await w.request()
-            other = await w.ask(post(body=b"other"))
-            assert (await other.read()).status == 409
-            await got.answer(200, b"owner's")
-            assert (await owner.read()).body == b"owner's"
-            assert w.agent._taken == 1
-            assert w.nothing_sent()
-            await other.write(post())  # the id is free again
-            await (await w.request()).answer()
-            assert (await other.read()).status == 200
-
-    asyncio.run(run())
+async def is_healthy(client: Conversation) -> bool:
+    await client.write(HEALTH_CHECK)
+    return (await client.read()).status == 200
 
 
-def test_a_client_that_asks_first_is_told_to_go_on(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            head, _, body = post(Expect="100-continue").partition(b"\r\n\r\n")
-            client = await w.ask(head + b"\r\n\r\n")
-            assert (await client.read()).status == 100
-            await client.write(body)
-            await (await w.request()).answer()
-            assert (await client.read()).status == 200
-
-    asyncio.run(run())
+async def sweep_has_passed(w: World) -> None:
+    """Wait until a connection on which nothing is sent has been closed by a sweep."""
+    await (await w.client()).ended()
 
 
-SOON = ClientTimeouts(
-    sweep_interval_s=0.005, first_byte_s=0.0, request_s=0.0, linger_s=0.0, evictable_after_s=0.0
-)
+# Time limits
 
 
 @pytest.mark.parametrize(
@@ -194,238 +52,251 @@
         (post(drop=("Content-Length",), body=b"", Content_length="60000000"), 413),
     ],
 )
-def test_who_never_sends_a_whole_request_gets_an_error_or_a_close(
+def test_incomplete_request_ends_with_an_error_or_a_close(
     tmp_path: Path, begun: bytes, status: int | None
 ) -> None:
+    # A client connects and sends nothing, or a part of a request and no more. Its connection would be
+    # occupied for ever. After a while it is closed; a request that had begun is answered first.
     async def run() -> None:
-        async with world(tmp_path, times=SOON) as w:
+        async with world(tmp_path, times=EXPIRE_AT_ONCE) as w:
+            handler = RecordingHandler(w.server)
             client = await w.ask(begun)
             if status is not None:
                 assert (await client.read()).status == status
             await client.ended()
-            assert not w.agent._taken
+            assert not handler.accepted
 
     asyncio.run(run())
 
 
-def test_a_request_in_hand_and_a_kept_connection_are_not_timed_as_unfinished(tmp_path: Path) -> None:
+def test_request_in_flight_and_kept_connection_do_not_expire_as_incomplete(tmp_path: Path) -> None:
+    # An endpoint answers late, and its client sends the next request late. Neither is a request that does not
+    # arrive: sweeps that close others meanwhile leave this connection open.
     async def run() -> None:
-        async with world(tmp_path, times=SOON) as w:
+        async with world(tmp_path, times=EXPIRE_AT_ONCE) as w:
             client = await w.ask(post())
             for _ in range(2):
-                got = await w.request()
-                (await (other := await w.client()).ended())  # so long was it looked at
+                forwarded = await w.request()
+                await sweep_has_passed(w)
                 assert not client.told_of_close()
-                await got.answer()
+                await forwarded.answer()
                 assert (await client.read()).status == 200
-                other = await w.client()
-                await other.ended()
+                await sweep_has_passed(w)
                 await client.write(post())
             await (await w.request()).answer()
 
     asyncio.run(run())
 
 
-async def healthy(client: Conversation) -> bool:
-    await client.write(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
-    return (await client.read()).status == 200
+async def unread_answer(w: World) -> tuple[Conversation, ClientConnection]:
+    """A client that reads nothing, and its connection with an answer that the kernel holds only in part."""
+    s = socket.socket()
+    s.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    s.connect(("127.0.0.1", w.port))
+    client = Conversation(*await asyncio.open_connection(sock=s, limit=1024))
+    w.clients.append(client)
+    await client.write(post())
+    forwarded = await w.request()
+    (connection,) = w.server.connections
+    assert connection.transport is not None
+    connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    await forwarded.answer(200, b"x" * 500_000)
+    while not connection.has_answered:
+        await asyncio.sleep(0)
+    assert not connection.all_written
+    return client, connection
+
+
+def test_client_that_sends_requests_and_reads_no_answers_is_disconnected(tmp_path: Path) -> None:
+    # A client sends request after request and reads no answer. The answers would pile up in the agent's
+    # memory: with one still unwritten, the next request ends the connection, and reaches nobody.
+    async def run() -> None:
+        async with world(tmp_path) as w:
+            handler = RecordingHandler(w.server)
+            client, _ = await unread_answer(w)
+            await client.write(post(Request_Id="9b21"))
+            while w.server.connections:
+                await asyncio.sleep(0)
+            assert len(handler.accepted) == 1
+            assert w.nothing_sent()
+
+    asyncio.run(run())
 
 
-def test_beyond_the_limit_the_longest_idle_connection_makes_way(tmp_path: Path) -> None:
+def test_connection_whose_answer_is_never_read_expires(tmp_path: Path) -> None:
+    # A client neither reads its answer nor closes. A close that waits for the answer to be written would
+    # never end, and the connection would be occupied for ever: it is aborted.
     async def run() -> None:
-        async with world(
-            tmp_path, most=37, times=replace(SOON, sweep_interval_s=60.0)
-        ) as w:  # two of clients
+        times = replace(EXPIRE_AT_ONCE, sweep_interval_s=0.02, keepalive_s=0.0)
+        async with world(tmp_path, times=times) as w:
+            await unread_answer(w)
+            while w.server.connections:
+                await asyncio.sleep(0.001)
+
+    asyncio.run(run())
+
+
+# Eviction
+
+
+def test_longest_idle_connection_is_evicted_at_the_limit(tmp_path: Path) -> None:
+    # More clients connect than there are descriptors for. The connection that was used longest ago makes
+    # room.
+    async def run() -> None:
+        times = replace(EXPIRE_AT_ONCE, sweep_interval_s=60.0)
+        async with world(tmp_path, most=SOCKETS_FOR_TWO_CLIENTS, times=times) as w:
             first, second = await w.client(), await w.client()
-            assert await healthy(second)
-            assert await healthy(first)
-            assert await healthy(await w.client())
+            assert await is_healthy(second)
+            assert await is_healthy(first)
+            assert await is_healthy(await w.client())
             await second.ended()
             assert not first.told_of_close()
 
     asyncio.run(run())
 
 
-def test_where_none_can_make_way_the_new_connection_is_closed(tmp_path: Path) -> None:
+def test_new_connection_is_closed_where_none_can_be_evicted(tmp_path: Path) -> None:
+    # More clients connect than there are descriptors for, and all connections are in use. A request in
+    # flight must not be lost for a newcomer, and who was just answered is likely to send again: the new one
+    # is closed.
     async def run() -> None:
-        async with world(tmp_path, most=34) as w:  # one of clients
-            held = await w.ask(post())
-            got = await w.request()
+        async with world(tmp_path, most=SOCKETS_FOR_ONE_CLIENT) as w:
+            client = await w.ask(post())
+            forwarded = await w.request()
             await (await w.client()).ended()
-            await got.answer()
-            assert (await held.read()).status == 200
+            await forwarded.answer()
+            assert (await client.read()).status == 200
             # One that was used just now stays, too.
             await (await w.client()).ended()
-            assert await healthy(held)
+            assert await is_healthy(client)
 
     asyncio.run(run())
 
 
-def test_one_that_never_said_anything_makes_way_at_once(tmp_path: Path) -> None:
+def test_connection_without_any_request_is_evicted_at_once(tmp_path: Path) -> None:
+    # A client connects and sends nothing, while another needs the connection.
     async def run() -> None:
-        async with world(tmp_path, most=34) as w:
-            mute = await w.client()
-            assert await healthy(await w.client())
-            await mute.ended()
+        async with world(tmp_path, most=SOCKETS_FOR_ONE_CLIENT) as w:
+            silent = await w.client()
+            assert await is_healthy(await w.client())
+            await silent.ended()
 
     asyncio.run(run())
 
 
-async def start(folder: Path, doc: object) -> tuple[asyncio.subprocess.Process, int]:
-    """The agent as a process of its own; returns when it listens."""
-    path = folder / "config.json"
-    path.write_text(json.dumps(doc))
-    process = await asyncio.create_subprocess_exec(
+# The agent as a process
+
+
+async def start_process(config: Path) -> asyncio.subprocess.Process:
+    return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "nickelmount",
-        env={**os.environ, "RELAY_CONFIG": str(path)},
+        env={**os.environ, "RELAY_CONFIG": str(config)},
         stderr=asyncio.subprocess.PIPE,
     )
-    assert process.stderr is not None
-    while b"listens on" not in (line := await process.stderr.readline()):
-        assert line, "ended before it listened"
-    return process, int(line.rpartition(b":")[2])
-
-
-async def ask_until_taken(port: int, backend: Peer, request: bytes) -> tuple[Conversation, Message]:
-    """As clients do: one whose connection was closed before the request was read sends it on a new one."""
-    while True:
-        client = Conversation(*await asyncio.open_connection("127.0.0.1", port))
-        await client.write(request)
-        closed = asyncio.create_task(client.reader.read(1))
-        taken = asyncio.create_task(backend.requests.get())
-        await asyncio.wait([closed, taken], return_when=asyncio.FIRST_COMPLETED)
-        closed.cancel()
-        if taken.done():
-            await asyncio.wait([closed])
-            return client, taken.result()
-        taken.cancel()
-
-
-def test_a_stop_serves_on_and_loses_nothing(tmp_path: Path) -> None:
-    async def run() -> None:
-        discovery, backend = await Peer().start(), await Peer().start()
-        process, port = await start(tmp_path, config_doc(discovery.port, [member("s", backend.port)]))
-        idle = Conversation(*await asyncio.open_connection("127.0.0.1", port))
-        held = Conversation(*await asyncio.open_connection("127.0.0.1", port))
-        await idle.write(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert (await idle.read()).status == 200
-        await held.write(post())
-        first = await backend.requests.get()
-        process.send_signal(signal.SIGTERM)
-        await idle.ended()
-        # The idle one is closed while new connections are still taken.
-        late, second = await ask_until_taken(port, backend, post(UNSAFE, Request_Id="9b20"))
-        for client, got in ((held, first), (late, second)):
-            await got.answer()
-            answer = await client.read()
-            assert answer.status == 200
-            assert answer.headers["connection"] == "close"
-        assert await process.wait() == 0
+
+
+class AgentProcess:
+    """The agent as a process of its own, its discovery and its one endpoint."""
+
+    def __init__(
+        self, process: asyncio.subprocess.Process, port: int, discovery: Peer, endpoint: Peer
+    ) -> None:
+        self.process, self.port, self.discovery, self.endpoint = process, port, discovery, endpoint
+
+    async def client(self) -> Conversation:
+        return Conversation(*await asyncio.open_connection("127.0.0.1", self.port))
+
+    async def send_until_forwarded(self, request: bytes) -> tuple[Conversation, Message]:
+        """As clients do, send it again on a new connection where one was closed before it was read."""
+        while True:
+            client = await self.client()
+            await client.write(request)
+            closed = asyncio.create_task(client.reader.read(1))
+            forwarded = asyncio.create_task(self.endpoint.requests.get())
+            await asyncio.wait([closed, forwarded], return_when=asyncio.FIRST_COMPLETED)
+            closed.cancel()
+            if forwarded.done():
+                await asyncio.wait([closed])
+                return client, forwarded.result()
+            forwarded.cancel()
+
+
+@asynccontextmanager
+async def agent_process(folder: Path, deadline_us: int | None = None) -> AsyncIterator[AgentProcess]:
+    """An agent that listens; ends what is left of it with the block. The deadline is that of all classes."""
+    discovery, endpoint = await Peer().start(), await Peer().start()
+    doc = config_doc(discovery.port, [member("s", endpoint.port)])
+    if deadline_us is not None:
+        for profile in doc["settings"]["profiles"]:
+            profile["aimUs"] = profile["deadlineUs"] = deadline_us
+    path = folder / "config.json"
+    path.write_text(json.dumps(doc))
+    process = await start_process(path)
+    try:
+        assert process.stderr is not None
+        while b"listens on" not in (line := await process.stderr.readline()):
+            assert line, "ended before it listened"
+        yield AgentProcess(process, int(line.rpartition(b":")[2]), discovery, endpoint)
+    finally:
+        if process.returncode is None:
+            process.kill()
+            await process.wait()
         await discovery.stop()
-        await backend.stop()
+        await endpoint.stop()
+
+
+def test_graceful_shutdown_serves_new_connections_and_loses_no_request(tmp_path: Path) -> None:
+    # The agent is stopped at a planned restart, while requests are in flight and clients still connect. All
+    # are answered, with Connection: close, and an idle connection is closed while new ones are still
+    # served.
+    async def run() -> None:
+        async with agent_process(tmp_path) as agent:
+            idle, early = await agent.client(), await agent.client()
+            assert await is_healthy(idle)
+            await early.write(post())
+            first = await agent.endpoint.requests.get()
+            agent.process.send_signal(signal.SIGTERM)
+            await idle.ended()
+            late, second = await agent.send_until_forwarded(post(UNSAFE, Request_Id="9b20"))
+            for client, forwarded in ((early, first), (late, second)):
+                await forwarded.answer()
+                answer = await client.read()
+                assert answer.status == 200
+                assert answer.headers["connection"] == "close"
+            assert await agent.process.wait() == 0
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_what_no_backend_answers_is_answered_before_the_end(tmp_path: Path) -> None:
+def test_request_that_no_endpoint_answers_fails_before_the_process_ends(tmp_path: Path) -> None:
+    # An endpoint hangs while the agent is stopped, and the client's timeout is far longer than the deadline
+    # of its class. Before it would be killed, the agent answers that the request has failed, and ends.
     async def run() -> None:
-        discovery, backend = await Peer().start(), await Peer().start()
-        doc = config_doc(discovery.port, [member("s", backend.port)])
-        for profile in doc["settings"]["profiles"]:
-            profile["aimUs"] = profile["deadlineUs"] = 500_000
-        process, port = await start(tmp_path, doc)
-        client = Conversation(*await asyncio.open_connection("127.0.0.1", port))
-        await client.write(post())  # its client would wait far longer than any class allows
-        await backend.requests.get()
-        process.send_signal(signal.SIGTERM)
-        assert (await client.read()).status == 500
-        assert await process.wait() == 0
-        await discovery.stop()
-        await backend.stop()
+        async with agent_process(tmp_path, deadline_us=500_000) as agent:
+            client = await agent.client()
+            await client.write(post())
+            await agent.endpoint.requests.get()
+            agent.process.send_signal(signal.SIGTERM)
+            assert (await client.read()).status == 500
+            assert await agent.process.wait() == 0
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
 @pytest.mark.parametrize("text", [None, "", "{", "[]", "7", '{"settings":{}}'])
-def test_a_bad_configuration_is_one_line_and_status_2(tmp_path: Path, text: str | None) -> None:
+def test_invalid_configuration_gives_one_line_and_exit_status_2(tmp_path: Path, text: str | None) -> None:
+    # The configuration file is missing, empty, cut short, or not of the form. An operator gets one line.
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
 
     async def run() -> None:
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "nickelmount",
-            env={**os.environ, "RELAY_CONFIG": str(path)},
-            stderr=asyncio.subprocess.PIPE,
-        )
+        process = await start_process(path)
         _, err = await process.communicate()
         assert process.returncode == 2
         assert err.startswith(b"nickelmount: "), err
         assert err.count(b"\n") == 1, err
 
     asyncio.run(asyncio.wait_for(run(), 60))
-
-
-@pytest.mark.parametrize("begun", [b"0\r\nX-Trailer: ", b"3\r\njob\r\n0\r\nX-Trailer: ", b"5;extension="])
-def test_a_request_that_never_ends_behind_its_head_is_turned_away_soon(tmp_path: Path, begun: bytes) -> None:
-    # The parser keeps all of a trailer's line: one client with 60 MB took the memory of the whole agent.
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            client = await w.ask(CHUNKED + begun)
-            (connection,) = w.server.connections
-            sent = 0
-            while not connection.is_lingering and sent < 8_000_000:
-                await client.write(b"x" * 65536)
-                sent += 65536
-                await asyncio.sleep(0)
-            assert (await client.read()).status == 400
-            assert sent < 4_000_000
-            assert w.nothing_sent()
-
-    asyncio.run(run())
-
-
-async def unread(w: World) -> tuple[Conversation, ClientConnection]:
-    """A client that reads nothing, and its connection with an answer that the kernel has not taken whole."""
-    s = socket.socket()
-    s.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    s.connect(("127.0.0.1", w.port))
-    client = Conversation(*await asyncio.open_connection(sock=s, limit=1024))
-    w.clients.append(client)
-    await client.write(post())
-    got = await w.request()
-    (connection,) = w.server.connections
-    assert connection.transport is not None
-    connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    await got.answer(200, b"x" * 500_000)
-    while not connection.has_answered:
-        await asyncio.sleep(0)
-    assert not connection.all_written
-    return client, connection
-
-
-def test_a_client_that_asks_on_and_reads_nothing_is_closed(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            client, connection = await unread(w)
-            await client.write(post(Request_Id="9b21"))
-            while w.server.connections:
-                await asyncio.sleep(0)
-            assert w.agent._taken == 1
-            assert w.nothing_sent()
-
-    asyncio.run(run())
-
-
-def test_a_client_that_never_reads_its_answer_does_not_keep_its_place_for_ever(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with world(tmp_path, times=replace(SOON, sweep_interval_s=0.02, keepalive_s=0.0)) as w:
-            await unread(w)
-            while w.server.connections:
-                await asyncio.sleep(0.001)
-
-    asyncio.run(run())
