--- a/nickelmount/fleet/__main__.py
+++ b/nickelmount/fleet/__main__.py
@@ -122,7 +122,7 @@
     for servers in counts:
         process = await RoleProcess.start("slopes")
         try:
-            measured = await process.call("measure", servers=servers, seed=seed)
+            measured = await process.call(Figures, "measure", servers=servers, seed=seed)
         finally:
             await process.end()
         figures |= {f"{servers}.{key}": value for key, value in measured.items()}
--- a/nickelmount/fleet/agent_processes.py
+++ b/nickelmount/fleet/agent_processes.py
@@ -17,10 +17,9 @@
 from pathlib import Path
 from typing import Any
 
-import msgspec
 import psutil
 
-from .agent_messages import AgentUsage, AgentUsages
+from .agent_messages import AgentsRestarted, AgentsStarted, AgentUsage, AgentUsages
 from .errors import RoleError
 from .role import run, serve
 
@@ -136,8 +135,8 @@
         self._folder = folder
         self._agents: list[AgentProcess] = []
 
-    async def start(self, configs: list[dict[str, Any]]) -> dict[str, Any]:
-        """Start an agent with each configuration; answers with their ports and seconds until ready.
+    async def start(self, configs: list[dict[str, Any]]) -> AgentsStarted:
+        """Start an agent with each configuration.
 
         One by one: started together, they would compete for processors, and the times would be too long.
         """
@@ -146,20 +145,19 @@
             agent = AgentProcess(config, self._folder)
             self._agents.append(agent)
             ready_s.append(await agent.start())
-        return {"ports": [agent.port for agent in self._agents], "ready_s": ready_s}
+        return AgentsStarted([agent.port for agent in self._agents], ready_s)
 
-    async def restart(self, indices: list[int]) -> dict[str, Any]:
-        """Kill and start these agents, one by one; answers with their seconds until ready."""
+    async def restart(self, indices: list[int]) -> AgentsRestarted:
+        """Kill and start these agents, one by one."""
         ready_s = []
         for index in indices:
             await self._agents[index].end(signal.SIGKILL)
             ready_s.append(await self._agents[index].start())
-        return {"ready_s": ready_s}
+        return AgentsRestarted(ready_s)
 
-    async def counts(self) -> dict[str, Any]:
-        """Return the keys of AgentUsages."""
-        usages: dict[str, Any] = msgspec.to_builtins(AgentUsages([agent.usage() for agent in self._agents]))
-        return usages
+    async def usages(self) -> AgentUsages:
+        """Return what each agent uses."""
+        return AgentUsages([agent.usage() for agent in self._agents])
 
     async def end(self) -> None:
         """Kill all agents."""
@@ -171,7 +169,7 @@
     with tempfile.TemporaryDirectory(prefix="nickelmount-fleet-") as folder:
         agents = AgentProcesses(Path(folder))
         try:
-            await serve({"start": agents.start, "restart": agents.restart, "counts": agents.counts})
+            await serve({"start": agents.start, "restart": agents.restart, "counts": agents.usages})
         finally:
             await agents.end()
 
--- a/nickelmount/fleet/discovery_messages.py
+++ b/nickelmount/fleet/discovery_messages.py
@@ -6,6 +6,8 @@
 
 import msgspec
 
+from .versioned_list import ServerLayout
+
 # How an outage looks to clients: connections are refused and reset, or accepted and never answered.
 OutageKind = Literal["refused", "silent"]
 # What discovery has after an outage: its history of changes, none, or none and revisions from 1 again.
@@ -13,13 +15,50 @@
 
 
 class PublishedChange(NamedTuple):
-    """One revision of the list."""
+    """One revision of the list, in the answer to `made`."""
 
     revision: int
     at_ns: int  # of the monotonic clock
     entries: int  # how many entries it changed
 
 
+class DiscoveryStart(ServerLayout, frozen=True):
+    """The arguments of the command `start`: a list is generated and served."""
+
+    history: int  # how many changes are remembered
+    revision: int = 1  # the first
+
+
+class DiscoveryStarted(msgspec.Struct, frozen=True):
+    """The answer to `start`."""
+
+    port: int
+    revision: int
+    list_bytes: int  # the size of the complete list
+    at_ns: int  # of the monotonic clock
+
+
+class ListPublished(msgspec.Struct, frozen=True):
+    """The answer to `change`: the list as it is now."""
+
+    revision: int
+    at_ns: int  # of the monotonic clock
+    changed_entries: int = msgspec.field(name="changed")  # 0: none, and the revision is the one before
+
+
+class OutageBegun(msgspec.Struct, frozen=True):
+    """The answer to `begin_outage`."""
+
+    at_ns: int  # of the monotonic clock
+
+
+class OutageEnded(msgspec.Struct, frozen=True):
+    """The answer to `end_outage`."""
+
+    at_ns: int  # of the monotonic clock
+    revision: int
+
+
 class DiscoveryCounts(msgspec.Struct):
     """What happened since the start.
 
--- a/nickelmount/fleet/emulated_discovery.py
+++ b/nickelmount/fleet/emulated_discovery.py
@@ -8,20 +8,30 @@
 import asyncio
 import time
 from collections import deque
-from collections.abc import Mapping, Sequence
+from collections.abc import Mapping
 from random import Random
-from typing import Any
 
 import msgspec
 
 from nickelmount.agent.http import HttpMessage, encode_response
 from nickelmount.errors import HttpError
 
-from .discovery_messages import DiscoveryCounts, HistoryAfterOutage, OutageKind, PublishedChange
+from .discovery_messages import (
+    DiscoveryCounts,
+    DiscoveryStart,
+    DiscoveryStarted,
+    DiscoveryStatus,
+    HistoryAfterOutage,
+    ListPublished,
+    OutageBegun,
+    OutageEnded,
+    OutageKind,
+    PublishedChange,
+)
 from .large_responses import LARGE_RESPONSE_BYTES, LargeResponseQueue
 from .list_calls import parse_list_call
 from .listening_port import ListeningPort
-from .role import Command, run, serve, usage
+from .role import Command, Nothing, run, serve, typed_command, usage
 from .steady_changes import SteadyChanges, unix_time_ms
 from .versioned_list import Phase, VersionedList, Where, generate, pick
 from .waiting_watches import SLOT_S, WaitingWatches
@@ -56,7 +66,7 @@
     def commands(self) -> Mapping[str, Command]:
         """Return the commands of the process, by their names on the wire."""
         return {
-            "start": self.start,
+            "start": typed_command(DiscoveryStart, self.start),
             "change": self.change,
             "begin_outage": self.begin_outage,
             "end_outage": self.end_outage,
@@ -65,35 +75,20 @@
             "made": self.published_changes,
         }
 
-    async def start(
-        self,
-        servers: int,
-        seed: int,
-        regions: int,
-        zones_per_region: int,
-        racks_per_zone: int,
-        ports: Sequence[int],
-        history: int,
-        revision: int = 1,
-    ) -> dict[str, Any]:
-        """Generate a list and serve it; `history` is how many changes are remembered.
-
-        Answers with the port, the revision, the size of the complete list in bytes and the time. Raises
-        ValueError where it has started before.
-        """
+    async def start(self, settings: DiscoveryStart) -> DiscoveryStarted:
+        """Generate a list and serve it; raises ValueError where it has started before."""
         if self._port.is_reserved:
             raise ValueError("started already")
-        entries = generate(servers, seed, regions, zones_per_region, racks_per_zone, ports)
-        self._list = VersionedList(entries, history, revision)
+        self._list = VersionedList(generate(settings), settings.history, settings.revision)
         self._port.reserve()
         await self._port.open()
         self._answer_expired()
-        return {
-            "port": self._port.number,
-            "revision": self._list.revision,
-            "list_bytes": len(self._list.response_body(None)),
-            "at_ns": time.monotonic_ns(),
-        }
+        return DiscoveryStarted(
+            port=self._port.number,
+            revision=self._list.revision,
+            list_bytes=len(self._list.response_body(None)),
+            at_ns=time.monotonic_ns(),
+        )
 
     async def change(
         self,
@@ -103,12 +98,11 @@
         where: Where = "any",
         seed: int = 0,
         replaced: bool = False,
-    ) -> dict[str, Any]:
+    ) -> ListPublished:
         """Publish one revision, in which servers change to `phase`.
 
         SERVING: all that do not serve are ready again, those deleted under new ids where `replaced`. Any
         other phase: a share or a count of those that serve, or all of them in one place, drawn with `seed`.
-        Answers with the revision, its time and how many entries changed.
         """
         msgspec.convert(phase, Phase)
         random = Random(seed)
@@ -119,7 +113,7 @@
         self._list.change(ids, phase)
         return self._publish(len(ids))
 
-    async def begin_outage(self, kind: OutageKind) -> dict[str, Any]:
+    async def begin_outage(self, kind: OutageKind) -> OutageBegun:
         """Fail from now on; raises ValueError where it has not started or is down.
 
         "refused": the port is closed, and all connections are reset. "silent": connections stay, the kernel
@@ -133,9 +127,9 @@
         self.counts.failed += len(self._waiting.remove_all()) + self._large_responses.remove_all()
         if kind == "refused":
             await self._disconnect_all()
-        return {"at_ns": at_ns}
+        return OutageBegun(at_ns)
 
-    async def end_outage(self, history: HistoryAfterOutage = "kept") -> dict[str, Any]:
+    async def end_outage(self, history: HistoryAfterOutage = "kept") -> OutageEnded:
         """Serve again; raises ValueError where there is no outage.
 
         Connections that remain are reset, those included that only the kernel has accepted.
@@ -149,27 +143,29 @@
             self._responses.clear()
         self._outage = None
         await self._port.open()
-        return {"at_ns": time.monotonic_ns(), "revision": self._list.revision}
+        return OutageEnded(time.monotonic_ns(), self._list.revision)
 
-    async def set_steady_changes(self, per_s: float, seed: int = 0) -> dict[str, Any]:
+    async def set_steady_changes(self, per_s: float, seed: int = 0) -> Nothing:
         """Publish so many single changes a second from now on; 0: none any more."""
         self._steady_changes.stop()
         if per_s > 0:
             self._steady_changes.start(per_s, seed)
-        return {}
-
-    async def status(self) -> dict[str, Any]:
-        """Return the keys of DiscoveryStatus."""
-        return {
-            **msgspec.to_builtins(self.counts),
-            "open": len(self._connections),
-            "waiting": len(self._waiting),
-            "queued": len(self._large_responses),
-            "revision": self._list.revision,
-            **usage(),
-        }
-
-    async def published_changes(self) -> dict[str, Any]:
+        return Nothing()
+
+    async def status(self) -> DiscoveryStatus:
+        """Return the counts since the start, the state and the usage."""
+        used = usage()
+        return DiscoveryStatus(
+            **msgspec.structs.asdict(self.counts),
+            open_connections=len(self._connections),
+            waiting=len(self._waiting),
+            queued=len(self._large_responses),
+            revision=self._list.revision,
+            cpu_s=used.cpu_s,
+            rss_mb=used.rss_mb,
+        )
+
+    async def published_changes(self) -> dict[str, list[PublishedChange]]:
         """Return the latest changes, the oldest first."""
         return {"changes": list(self._published)}
 
@@ -188,7 +184,7 @@
 
     # Changes
 
-    def _publish(self, changed: int) -> dict[str, Any]:
+    def _publish(self, changed: int) -> ListPublished:
         """Answer all watches that wait for the change just made to `changed` entries."""
         at_ns = time.monotonic_ns()
         revision = self._list.revision
@@ -197,7 +193,7 @@
             self._responses.clear()
             for connection in self._waiting.remove_all():
                 self._answer(connection)
-        return {"revision": revision, "at_ns": at_ns, "changed": changed}
+        return ListPublished(revision, at_ns, changed)
 
     # Connections
 
--- a/nickelmount/fleet/emulated_endpoints.py
+++ b/nickelmount/fleet/emulated_endpoints.py
@@ -9,11 +9,11 @@
 import asyncio
 import gc
 import math
-from typing import Any
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
 
 from . import role
+from .endpoint_messages import EndpointsStarted, EndpointsStatus
 
 RESPONSE_BODY = b"done"
 PROBE_TARGETS = (b"/_load", b"/ping")
@@ -172,10 +172,10 @@
         self._counts = EndpointCounts()
         self._endpoints: list[EmulatedEndpoint] = []
 
-    async def start(self, ports: int, work_ms: float = 0.0) -> dict[str, Any]:
+    async def start(self, ports: int, work_ms: float = 0.0) -> EndpointsStarted:
         """Open so many listening sockets; each request is answered after `work_ms`, at once where it is 0.
 
-        Answers with their ports. Raises ValueError where the arguments make no sense, or on a second start.
+        Raises ValueError where the arguments make no sense, or on a second start.
         """
         if self._endpoints:
             raise ValueError("started already")
@@ -185,18 +185,19 @@
         opened = [await endpoint.listen() for endpoint in self._endpoints]
         gc.collect()
         gc.freeze()  # collections while it serves pass over what stays until the end anyway
-        return {"ports": opened}
-
-    async def counts(self) -> dict[str, Any]:
-        """Return the counts since the start, and the usage; `connections` are those accepted, open or not."""
-        counts = self._counts
-        return {
-            "requests": counts.requests,
-            "probes": counts.probes,
-            "connections": counts.connections,
-            "ids_seen_twice": len(counts.repeated_ids),
-            **role.usage(),
-        }
+        return EndpointsStarted(opened)
+
+    async def status(self) -> EndpointsStatus:
+        """Return the counts since the start, and the usage."""
+        used = role.usage()
+        return EndpointsStatus(
+            requests=self._counts.requests,
+            probes=self._counts.probes,
+            connections=self._counts.connections,
+            repeated_ids=len(self._counts.repeated_ids),
+            cpu_s=used.cpu_s,
+            rss_mb=used.rss_mb,
+        )
 
     def close(self) -> None:
         """Close all listening sockets and connections."""
@@ -208,7 +209,7 @@
     """Run the role until its input ends."""
     endpoints = EmulatedEndpoints()
     try:
-        await role.serve({"start": endpoints.start, "counts": endpoints.counts})
+        await role.serve({"start": endpoints.start, "counts": endpoints.status})
     finally:
         endpoints.close()
 
--- a/nickelmount/fleet/fleet_processes.py
+++ b/nickelmount/fleet/fleet_processes.py
@@ -12,12 +12,23 @@
 import psutil
 
 from .agent_config import METHOD, REQUEST_CLASS, config
-from .agent_messages import AgentUsage, AgentUsages, WorkerStatus
-from .discovery_messages import DiscoveryStatus
+from .agent_messages import (
+    AgentsRestarted,
+    AgentsStarted,
+    AgentUsage,
+    AgentUsages,
+    WorkerRestarted,
+    WorkerStarted,
+    WorkerStatus,
+)
+from .discovery_messages import DiscoveryStart, DiscoveryStarted, DiscoveryStatus
+from .endpoint_messages import EndpointsStarted, EndpointsStatus
 from .errors import RunError
 from .experiment import Experiment
 from .figures import Figures
+from .load_messages import AgentTarget, DirectTarget, LoadSettings
 from .propagation import HollowWorker
+from .role import Nothing
 from .role_process import RoleProcess
 from .usage_figures import FleetStatus
 from .versioned_list import generate
@@ -54,29 +65,31 @@
         experiment, servers = self._experiment, self._experiment.servers
         self._endpoints = await self._start_role("emulated_endpoints")
         self._discovery = await self._start_role("emulated_discovery")
-        endpoints = await self._endpoints.call("start", ports=servers.sockets, work_ms=servers.work_ms)
-        layout = {
-            "servers": servers.listed,
-            "seed": self._seed,
-            "regions": servers.regions,
-            "zones_per_region": servers.zones_per_region,
-            "racks_per_zone": servers.racks_per_zone,
-            "ports": endpoints["ports"],
-        }
-        discovery = await self._discovery.call(
-            "start", **layout, history=experiment.discovery.history, revision=FIRST_REVISION
+        endpoints = await self._endpoints.call(
+            EndpointsStarted, "start", ports=servers.sockets, work_ms=servers.work_ms
+        )
+        settings = DiscoveryStart(
+            servers=servers.listed,
+            seed=self._seed,
+            regions=servers.regions,
+            zones_per_region=servers.zones_per_region,
+            racks_per_zone=servers.racks_per_zone,
+            ports=endpoints.ports,
+            history=experiment.discovery.history,
+            revision=FIRST_REVISION,
         )
-        self.first_revision = discovery["revision"]
+        discovery = await self._discovery.call(DiscoveryStarted, "start", **msgspec.structs.asdict(settings))
+        self.first_revision = discovery.revision
         known_list = {
-            "revision": discovery["revision"],
+            "revision": discovery.revision,
             "complete": True,
-            "members": msgspec.to_builtins(generate(**layout)),
+            "members": msgspec.to_builtins(generate(settings)),
         }
-        figures: Figures = {"list.size.bytes": discovery["list_bytes"]}
+        figures: Figures = {"list.size.bytes": discovery.list_bytes}
         if experiment.agents.hollow:
-            figures |= await self._start_hollow_agents(discovery["port"], known_list)
+            figures |= await self._start_hollow_agents(discovery.port, known_list)
         if experiment.agents.real:
-            figures |= await self._start_real_agents(discovery["port"], known_list, endpoints["ports"])
+            figures |= await self._start_real_agents(discovery.port, known_list, endpoints.ports)
         return figures
 
     async def end(self) -> None:
@@ -111,6 +124,7 @@
         answers = await asyncio.gather(
             *(
                 worker.process.call(
+                    WorkerStarted,
                     "start",
                     config=config(experiment, 0, discovery_port, known_list),
                     numbers=worker.agent_numbers,
@@ -119,7 +133,7 @@
                 for worker in self.workers
             )
         )
-        grown_mb = sum(answer["rss_mb"] - answer["before"]["rss_mb"] for answer in answers)
+        grown_mb = sum(answer.rss_mb - answer.before.rss_mb for answer in answers)
         return {
             "hollow.memory.mb": grown_mb / agents.hollow,
             "hollow.start.s": time.monotonic() - started_s,
@@ -135,15 +149,14 @@
         load_generator = await self._start_role("load_generator")
         self._real = RealAgents(agents, load_generator)
         configs = [config(experiment, hollow + n, discovery_port, known_list) for n in range(real)]
-        started = await agents.call("start", configs=configs)
+        started = await agents.call(AgentsStarted, "start", configs=configs)
         targets = [
-            {"name": agent_config["name"], "port": port}
-            for agent_config, port in zip(configs, started["ports"], strict=True)
+            AgentTarget(agent_config["name"], port)
+            for agent_config, port in zip(configs, started.ports, strict=True)
         ]
-        await load_generator.call(
-            "start",
+        settings = LoadSettings(
             agents=targets,
-            direct=[{"port": port} for port in endpoint_ports],
+            direct=[DirectTarget(port) for port in endpoint_ports],
             rate=requests.rate_per_s,
             direct_rate=requests.direct_rate_per_s,
             arrivals=requests.arrivals,
@@ -153,7 +166,8 @@
             timeout_ms=requests.timeout_ms,
             body_bytes=requests.body_bytes,
         )
-        return {"real.ready.s": max(started["ready_s"])}
+        await load_generator.call(Nothing, "start", **msgspec.structs.asdict(settings))
+        return {"real.ready.s": max(started.ready_s)}
 
     # Commands to the processes
 
@@ -166,22 +180,22 @@
     async def begin_phase(self, name: str) -> None:
         """Count requests due from now on in this phase."""
         if self._real is not None:
-            await self._real.load_generator.call("phase", name=name)
+            await self._real.load_generator.call(Nothing, "phase", name=name)
 
     async def restart_real_agents(self, indices: list[int]) -> list[float]:
         """Kill and start these; returns the seconds until each was ready again."""
         if not indices:
             return []
         assert self._real is not None
-        answer = await self._real.agents.call("restart", indices=indices)
-        ready_s: list[float] = answer["ready_s"]
-        return ready_s
+        return (await self._real.agents.call(AgentsRestarted, "restart", indices=indices)).ready_s
 
     async def restart_hollow_agents(self, numbers: frozenset[int]) -> None:
         """End and start these."""
         await asyncio.gather(
             *(
-                worker.process.call("restart", numbers=[n for n in worker.agent_numbers if n in numbers])
+                worker.process.call(
+                    WorkerRestarted, "restart", numbers=[n for n in worker.agent_numbers if n in numbers]
+                )
                 for worker in self.workers
             )
         )
@@ -189,27 +203,27 @@
     async def stop_load(self) -> None:
         """Send no more requests, and wait for those in flight."""
         if self._real is not None:
-            await self._real.load_generator.call("stop")
+            await self._real.load_generator.call(Nothing, "stop")
 
     async def load_results(self) -> dict[str, Any] | None:
         """Return what the load generator measured; None: there is none. Only after `stop_load`."""
-        return None if self._real is None else await self._real.load_generator.call("results")
+        return None if self._real is None else await self._real.load_generator.call(dict[str, Any], "results")
 
     async def repeated_request_ids(self) -> int:
         """Return how many Request-Ids the endpoints have seen more than once."""
         assert self._endpoints is not None
-        repeated: int = (await self._endpoints.call("counts"))["ids_seen_twice"]
-        return repeated
+        return (await self._endpoints.call(EndpointsStatus, "counts")).repeated_ids
 
     async def discovery_status(self) -> DiscoveryStatus:
         """Return the counts and the usage of discovery."""
-        return msgspec.convert(await self.discovery.call("counts"), DiscoveryStatus)
+        return await self.discovery.call(DiscoveryStatus, "counts")
 
     async def status(self) -> FleetStatus:
         """Return the counts and the usage of all."""
-        answers = await asyncio.gather(*(worker.process.call("counts") for worker in self.workers))
+        workers = await asyncio.gather(
+            *(worker.process.call(WorkerStatus, "counts") for worker in self.workers)
+        )
         real: list[AgentUsage] = []
         if self._real is not None:
-            real = msgspec.convert(await self._real.agents.call("counts"), AgentUsages).agents
-        workers = [msgspec.convert(answer, WorkerStatus) for answer in answers]
+            real = (await self._real.agents.call(AgentUsages, "counts")).agents
         return FleetStatus(await self.discovery_status(), workers, real)
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -17,8 +17,6 @@
 from random import Random
 from typing import Any, NamedTuple
 
-import msgspec
-
 from nickelmount.agent.agent import Agent
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.config import Config, config_from
@@ -33,7 +31,7 @@
 from nickelmount.agent.upstream import Upstream
 from nickelmount.balancer.balancer import Balancer
 
-from .agent_messages import WorkerStatus
+from .agent_messages import ListTimes, WorkerRestarted, WorkerStarted, WorkerStatus
 from .role import run, serve, usage
 
 STARTS_PER_ITERATION = 32  # of the event loop; then the agents started before get to run
@@ -159,8 +157,8 @@
     def __init__(self) -> None:
         self._agents: list[HollowAgent] = []
 
-    async def start(self, config: dict[str, Any], numbers: list[int], shared: bool) -> dict[str, Any]:
-        """Start an agent with each number; answers with the usage of the process before and now."""
+    async def start(self, config: dict[str, Any], numbers: list[int], shared: bool) -> WorkerStarted:
+        """Start an agent with each number."""
         gc.collect()
         before = usage()
         clock = Clock()
@@ -175,14 +173,15 @@
             agent.start()
             if position % STARTS_PER_ITERATION == 0:
                 await asyncio.sleep(0)
-        return {"before": before, **usage()}
+        after = usage()
+        return WorkerStarted(before, cpu_s=after.cpu_s, rss_mb=after.rss_mb)
 
-    async def had(self, revision: int, since_ns: int) -> dict[str, Any]:
+    async def had(self, revision: int, since_ns: int) -> ListTimes:
         """Return when each agent had this revision or a later one, in the order of their numbers."""
-        return {"at_ns": [agent.received_at_ns(revision, since_ns) for agent in self._agents]}
+        return ListTimes([agent.received_at_ns(revision, since_ns) for agent in self._agents])
 
-    async def restart(self, numbers: list[int]) -> dict[str, Any]:
-        """End these agents, then start them; answers with the time of the end."""
+    async def restart(self, numbers: list[int]) -> WorkerRestarted:
+        """End these agents, then start them."""
         chosen = set(numbers)
         at_ns = time.monotonic_ns()
         agents = [agent for agent in self._agents if agent.number in chosen]
@@ -191,20 +190,18 @@
         for agent in agents:
             agent.start()
             await asyncio.sleep(0)
-        return {"at_ns": at_ns}
+        return WorkerRestarted(at_ns)
 
-    async def counts(self) -> dict[str, Any]:
-        """Return the keys of WorkerStatus."""
+    async def status(self) -> WorkerStatus:
+        """Return the counts since the start, and the usage."""
         used = usage()
-        status = WorkerStatus(
+        return WorkerStatus(
             agents=sum(agent.is_running for agent in self._agents),
             lists=sum(len(agent.received) for agent in self._agents),
             failed_calls=sum(agent.failed_calls for agent in self._agents),
-            cpu_s=used["cpu_s"],
-            rss_mb=used["rss_mb"],
+            cpu_s=used.cpu_s,
+            rss_mb=used.rss_mb,
         )
-        keys: dict[str, Any] = msgspec.to_builtins(status)
-        return keys
 
 
 async def main() -> None:
@@ -212,7 +209,7 @@
     logging.basicConfig(level=logging.ERROR)  # warnings of failed calls are left out; the calls are counted
     worker = HollowAgentWorker()
     await serve(
-        {"start": worker.start, "had": worker.had, "restart": worker.restart, "counts": worker.counts}
+        {"start": worker.start, "had": worker.had, "restart": worker.restart, "counts": worker.status}
     )
 
 
--- a/nickelmount/fleet/load_generator.py
+++ b/nickelmount/fleet/load_generator.py
@@ -22,43 +22,17 @@
 from . import role
 from .arrivals import arrival_times_ns
 from .load_connections import LoadConnectionPool
+from .load_messages import LoadSettings
 from .precise_loop import PreciseEventLoopPolicy
 from .request_statistics import RequestPath
 from .request_tracker import RequestTracker
+from .role import Nothing
 
 CONNECTION_BUSY_S = 0.03  # with one request: its answer and the delay until reuse, as an upper estimate
 POLL_AHEAD_NS = 400_000  # before a request is due the loop only polls: to wake up takes 0.2 to 0.3 ms
 FIRST_PHASE = "warm"
 
 
-class AgentTarget(msgspec.Struct, frozen=True):
-    """An agent that requests go through; `port` is on 127.0.0.1."""
-
-    name: str
-    port: int
-
-
-class DirectTarget(msgspec.Struct, frozen=True):
-    """An endpoint that requests go to directly; `port` is on 127.0.0.1."""
-
-    port: int
-
-
-class LoadSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The arguments of the command `start`. A rate of 0 leaves its path out."""
-
-    agents: list[AgentTarget]
-    direct: list[DirectTarget]
-    rate: float  # requests a second to each agent
-    direct_rate: float  # requests a second to all direct targets together
-    arrivals: str  # "poisson" or "even"
-    seed: int
-    request_class: str
-    method: str
-    timeout_ms: int
-    body_bytes: int
-
-
 @dataclass(frozen=True, slots=True)
 class _StreamSettings:
     path: RequestPath
@@ -128,7 +102,7 @@
         self._pools: list[LoadConnectionPool] = []
         self._streams: list[RequestStream] = []
 
-    async def start(self, settings: LoadSettings) -> dict[str, Any]:
+    async def start(self, settings: LoadSettings) -> Nothing:
         """Open the connections, then send; requests count in the phase "warm" until another is named.
 
         Raises ValueError where the settings make no sense or it has started before, and OSError where a port
@@ -156,14 +130,14 @@
         at_ns = monotonic_ns()
         for request_stream in self._streams:
             request_stream.start(at_ns)
-        return {}
+        return Nothing()
 
-    async def phase(self, name: str) -> dict[str, Any]:
+    async def phase(self, name: str) -> Nothing:
         """Count requests due from now on in the phase of this name."""
         self._require_started().begin_phase(name)
-        return {}
+        return Nothing()
 
-    async def stop(self) -> dict[str, Any]:
+    async def stop(self) -> Nothing:
         """Send no more, and wait for the requests in flight, each of which ends by its timeout."""
         tracker = self._require_started()
         for stream in self._streams:
@@ -171,7 +145,7 @@
         if tracker.in_flight:
             await tracker.all_ended.wait()
         self.close()
-        return {}
+        return Nothing()
 
     async def results(self) -> dict[str, Any]:
         """Return the statistics by phase and path; times in the histograms are in us.
@@ -184,7 +158,7 @@
                 name: {path: statistics.result() for path, statistics in paths.items()}
                 for name, paths in tracker.phases.items()
             },
-            **role.usage(),
+            **msgspec.structs.asdict(role.usage()),
         }
 
     def close(self) -> None:
--- a/nickelmount/fleet/propagation.py
+++ b/nickelmount/fleet/propagation.py
@@ -6,6 +6,7 @@
 import time
 from dataclasses import dataclass
 
+from .agent_messages import ListTimes
 from .figures import PERCENTILES, Figures, quantile
 from .role_process import RoleProcess
 
@@ -59,14 +60,14 @@
         """Return the delay of each agent; None: it does not have the revision yet."""
         answers = await asyncio.gather(
             *(
-                worker.process.call("had", revision=target.revision, since_ns=target.since_ns)
+                worker.process.call(ListTimes, "had", revision=target.revision, since_ns=target.since_ns)
                 for worker in self._workers
             )
         )
         return [
             (received_ns - target.since_ns) / 1e6 if received_ns else None
             for worker, answer in zip(self._workers, answers, strict=True)
-            for number, received_ns in zip(worker.agent_numbers, answer["at_ns"], strict=True)
+            for number, received_ns in zip(worker.agent_numbers, answer.at_ns, strict=True)
             if not target.agent_numbers or number in target.agent_numbers
         ]
 
--- a/nickelmount/fleet/role.py
+++ b/nickelmount/fleet/role.py
@@ -17,28 +17,39 @@
 import msgspec
 import psutil
 
-Command = Callable[..., Awaitable[dict[str, Any]]]
+Command = Callable[..., Awaitable[object]]  # answers with what msgspec encodes as a JSON object
 Arguments = TypeVar("Arguments")
 
 MAX_LINE_BYTES = 64 * 1024 * 1024  # histograms, and times of thousands of agents, are one line
 
 
-def usage() -> dict[str, float]:
-    """Return what this process has used: processor seconds, user and system, and resident memory in MB."""
+class Nothing(msgspec.Struct, frozen=True):
+    """The answer of a command that has nothing to say."""
+
+
+class Usage(msgspec.Struct, frozen=True):
+    """What a process has used."""
+
+    cpu_s: float  # processor time, user and system
+    rss_mb: float  # resident memory
+
+
+def usage() -> Usage:
+    """Return what this process has used."""
     process = psutil.Process()
     times = process.cpu_times()
-    return {"cpu_s": times.user + times.system, "rss_mb": process.memory_info().rss / 1e6}
+    return Usage(cpu_s=times.user + times.system, rss_mb=process.memory_info().rss / 1e6)
 
 
 def typed_command(
-    arguments_type: type[Arguments], handler: Callable[[Arguments], Awaitable[dict[str, Any]]]
+    arguments_type: type[Arguments], handler: Callable[[Arguments], Awaitable[object]]
 ) -> Command:
     """Return a command whose arguments are converted to one typed message.
 
     The command raises msgspec.ValidationError where they do not have its form.
     """
 
-    async def command(**arguments: Any) -> dict[str, Any]:
+    async def command(**arguments: Any) -> object:
         return await handler(msgspec.convert(arguments, arguments_type))
 
     return command
--- a/nickelmount/fleet/role_process.py
+++ b/nickelmount/fleet/role_process.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 import sys
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 import psutil
@@ -15,6 +15,8 @@
 
 END_TIMEOUT_S = 3.0  # then a role that does not end with its input is killed
 
+Answer = TypeVar("Answer")
+
 
 class RoleProcess:
     """A child process that takes commands, one at a time; several roles work side by side."""
@@ -37,7 +39,7 @@
         )
         return cls(module, process)
 
-    async def call(self, command: str, /, **arguments: Any) -> dict[str, Any]:
+    async def call(self, answer_type: type[Answer], command: str, /, **arguments: Any) -> Answer:
         """Return the answer to a command; raises RoleError."""
         line = await self._exchange(msgspec.json.encode({"do": command, **arguments}) + b"\n")
         if not line:
@@ -45,8 +47,7 @@
         answer = msgspec.json.decode(line, type=dict[str, Any])
         if "error" in answer:
             raise RoleError(f"{self.name}: {command}: {answer['error']}")
-        result: dict[str, Any] = answer["ok"]
-        return result
+        return msgspec.convert(answer["ok"], answer_type)
 
     async def _exchange(self, line: bytes) -> bytes:
         """Return the line that answers a line; empty where the process has ended."""
--- a/nickelmount/fleet/runner.py
+++ b/nickelmount/fleet/runner.py
@@ -6,16 +6,17 @@
 import time
 from collections.abc import Callable
 from random import Random
-from typing import Any
 
 import psutil
 
+from .discovery_messages import ListPublished, OutageBegun, OutageEnded
 from .errors import RunError
 from .experiment import AgentRestart, Event, Experiment, ListChange, Outage, SteadyChangeRate
 from .figures import Figures
 from .fleet_processes import FleetProcesses
 from .propagation import PropagationMeasurement, PropagationTarget
 from .request_figures import WARM_UP_PHASE, request_figures
+from .role import Nothing
 from .usage_figures import usage_figures
 
 MAX_MEMORY_SHARE = 0.5  # of the machine's memory
@@ -131,17 +132,18 @@
         if isinstance(event, ListChange):
             await self._change_list(event)
         elif isinstance(event, SteadyChangeRate):
-            await self._fleet.discovery.call("drip", per_s=event.per_s, seed=self._next_seed())
+            await self._fleet.discovery.call(Nothing, "drip", per_s=event.per_s, seed=self._next_seed())
         elif isinstance(event, AgentRestart):
             await self._restart_agents(event)
         elif isinstance(event, Outage):
-            await self._fleet.discovery.call("begin_outage", kind=event.outage_kind)
+            await self._fleet.discovery.call(OutageBegun, "begin_outage", kind=event.outage_kind)
             self._discovery_is_down, self._changed_while_down = True, False
         elif isinstance(event, OutageEnd):
             await self._end_outage(event)
 
     async def _change_list(self, event: ListChange) -> None:
-        change = await self._fleet.discovery.call(
+        published = await self._fleet.discovery.call(
+            ListPublished,
             "change",
             count=event.count,
             where=event.where,
@@ -149,22 +151,24 @@
             replaced=event.replaced,
             seed=self._next_seed(),
         )
-        self._revision = change["revision"]
+        self._revision = published.revision
         if self._discovery_is_down:
             self._changed_while_down = True
         else:
-            self._measure_propagation(event, change)
+            self._propagation.add(PropagationTarget(event.label, published.revision, published.at_ns))
 
     async def _end_outage(self, event: OutageEnd) -> None:
-        change = await self._fleet.discovery.call("end_outage", history=event.outage.history)
+        latest: OutageEnded | ListPublished = await self._fleet.discovery.call(
+            OutageEnded, "end_outage", history=event.outage.history
+        )
         self._discovery_is_down = False
         if not self._changed_while_down:
             # Without a change the agents would get no list, and their recovery could not be seen.
-            change |= await self._fleet.discovery.call(
-                "change", count=1, where="any", phase="DRAINING", seed=self._next_seed()
+            latest = await self._fleet.discovery.call(
+                ListPublished, "change", count=1, where="any", phase="DRAINING", seed=self._next_seed()
             )
-        self._revision = change["revision"]
-        self._measure_propagation(event, change)
+        self._revision = latest.revision
+        self._propagation.add(PropagationTarget(event.label, latest.revision, latest.at_ns))
 
     async def _restart_agents(self, event: AgentRestart) -> None:
         agents = self._experiment.agents
@@ -185,9 +189,6 @@
             target = PropagationTarget(event.label, self._revision, at_ns, numbers)
             self._propagation.add(target)
 
-    def _measure_propagation(self, event: Event, change: dict[str, Any]) -> None:
-        self._propagation.add(PropagationTarget(event.label, change["revision"], change["at_ns"]))
-
     def _next_seed(self) -> int:
         return self._random.randrange(1 << 30)
 
--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 from random import Random
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.config import Config, config_from
@@ -38,7 +38,7 @@
 from .figures import Figures, quantile
 from .role import run, serve, usage
 from .steady_changes import unix_time_ms
-from .versioned_list import VersionedList, generate
+from .versioned_list import ServerLayout, VersionedList, generate
 
 CHANGES = 200  # single ones, each timed
 REPEATED_LISTS = 5
@@ -73,16 +73,15 @@
     def __init__(self, servers: int, seed: int) -> None:
         self._random = Random(seed)
         experiment = Experiment(name="slopes", seed=seed)
-        layout = experiment.servers
-        entries = generate(
-            servers,
-            seed,
-            regions=layout.regions,
-            zones_per_region=layout.zones_per_region,
-            racks_per_zone=layout.racks_per_zone,
+        layout = ServerLayout(
+            servers=servers,
+            seed=seed,
+            regions=experiment.servers.regions,
+            zones_per_region=experiment.servers.zones_per_region,
+            racks_per_zone=experiment.servers.racks_per_zone,
             ports=[9000],
         )
-        self._list = VersionedList(entries, CHANGES)
+        self._list = VersionedList(generate(layout), CHANGES)
         clock = Clock()
         empty_list = {"revision": 0, "complete": True, "members": []}
         self._config = config_from(config(experiment, 0, 9, empty_list), {}, clock)
@@ -96,10 +95,10 @@
         """Measure lists, then changes, then decisions."""
         body = self._list.response_body(None)
         gc.collect()
-        before_mb = usage()["rss_mb"]
+        before_mb = usage().rss_mb
         _, first_us = _timed(lambda: self._receive(body))
         repeated_us = [_timed(lambda: self._receive(body))[1] for _ in range(REPEATED_LISTS)]
-        memory_mb = usage()["rss_mb"] - before_mb
+        memory_mb = usage().rss_mb - before_mb
         changes_us = [self._change() for _ in range(CHANGES)]
         decisions_us = sorted(self._decisions())
         return {
@@ -165,8 +164,8 @@
 async def main() -> None:
     """Run the role until its input ends."""
 
-    async def measure(servers: int, seed: int) -> dict[str, Any]:
-        return dict(ScalingProbe(servers, seed).figures())
+    async def measure(servers: int, seed: int) -> Figures:
+        return ScalingProbe(servers, seed).figures()
 
     await serve({"measure": measure})
 
--- a/nickelmount/fleet/versioned_list.py
+++ b/nickelmount/fleet/versioned_list.py
@@ -168,29 +168,37 @@
 }
 
 
-def generate(
-    servers: int, seed: int, regions: int, zones_per_region: int, racks_per_zone: int, ports: Sequence[int]
-) -> list[ListEntry]:
-    """Return servers spread evenly over racks, the same for the same arguments.
-
-    They share the ports of 127.0.0.1 in turn.
-    """
-    random = Random(seed)
-    zones = [f"r{region}-z{zone}" for zone in range(zones_per_region) for region in range(regions)]
+class ServerLayout(msgspec.Struct, frozen=True):
+    """How many servers there are, and where."""
+
+    servers: int
+    seed: int  # of their ids and machine types
+    regions: int
+    zones_per_region: int
+    racks_per_zone: int
+    ports: list[int]  # of 127.0.0.1, which the servers share in turn
+
+
+def generate(layout: ServerLayout) -> list[ListEntry]:
+    """Return servers spread evenly over racks, the same for the same layout."""
+    random = Random(layout.seed)
+    zones = [
+        f"r{region}-z{zone}" for zone in range(layout.zones_per_region) for region in range(layout.regions)
+    ]
     racks = [
-        (zone, position * racks_per_zone + rack)
-        for rack in range(racks_per_zone)
+        (zone, position * layout.racks_per_zone + rack)
+        for rack in range(layout.racks_per_zone)
         for position, zone in enumerate(zones)
     ]
     used_ids: set[str] = set()
     entries = []
-    for number in range(servers):
+    for number in range(layout.servers):
         zone, rack = racks[number % len(racks)]
         machine_type = random.choice(list(CAPACITIES))
         entries.append(
             ListEntry(
                 id=_unused_id(random, used_ids),
-                address=f"127.0.0.1:{ports[number % len(ports)]}",
+                address=f"127.0.0.1:{layout.ports[number % len(layout.ports)]}",
                 zone=zone,
                 machine_type=machine_type,
                 rack=rack,
--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -11,6 +11,7 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 
 from nickelmount.agent import discovery as discovery_module
@@ -24,6 +25,7 @@
 )
 from nickelmount.balancer.events import EndpointStatus
 from nickelmount.fleet import large_responses
+from nickelmount.fleet.discovery_messages import DiscoveryStart, DiscoveryStatus
 from nickelmount.fleet.emulated_discovery import EmulatedDiscovery
 from nickelmount.fleet.listening_port import SEND_BUFFER_BYTES
 
@@ -40,8 +42,8 @@
     asyncio.get_running_loop().set_exception_handler(lambda _, fault: faults.append(fault))
     try:
         async with asyncio.timeout(60):  # a hang fails the test; nothing is timed by this
-            started = await discovery.start(servers, 7, 2, 2, 2, [9001, 9002], history)
-            yield discovery, started["port"]
+            started = await discovery.start(DiscoveryStart(servers, 7, 2, 2, 2, [9001, 9002], history))
+            yield discovery, started.port
     finally:
         await discovery.close()
     assert faults == []
@@ -87,8 +89,14 @@
     return client.known
 
 
+def keys(status: DiscoveryStatus) -> dict[str, Any]:
+    """The counts under their keys on the wire."""
+    return {**msgspec.to_builtins(status)}
+
+
 async def until(discovery: EmulatedDiscovery, **figures: int) -> None:
-    while (counts := await discovery.status()) | figures != counts:
+    """Wait until the counts, by their keys on the wire, are these."""
+    while (counts := keys(await discovery.status())) | figures != counts:
         await asyncio.sleep(0)
 
 
@@ -104,19 +112,19 @@
                 await discovery.change("DELETED", where="rack", seed=3),
                 await discovery.change("SERVING", replaced=True),
             ]
-            assert changes[0]["changed"] == 10
-            assert changes[1]["revision"] == 3
+            assert changes[0].changed_entries == 10
+            assert changes[1].revision == 3
             for client in clients:
                 assert not (await client.knows(4)).complete
                 assert client.known == await listed(port)
             assert len(clients[0].known) == 40
-            counts = await discovery.status()
+            counts = keys(await discovery.status())
             assert counts["whole"] == 40
             assert counts["connections"] == 40
             assert counts["waiting_most"] == 20
             assert 0 < counts["most_calls_in_100ms"] <= counts["calls"]
             made = (await discovery.published_changes())["changes"]
-            assert [(c["revision"], c["at_ns"], c["changed"]) for c in changes] == made
+            assert [(c.revision, c.at_ns, c.changed_entries) for c in changes] == made
 
     asyncio.run(run())
 
@@ -140,14 +148,14 @@
                 assert await client.updates.get() is None
             assert client.updates.empty()
             ended = await discovery.end_outage(history)
-            assert ended["revision"] == (1 if history == "renumbered" else 4)
+            assert ended.revision == (1 if history == "renumbered" else 4)
             if kind == "silent":
                 assert await client.updates.get() is None  # reset
-            listing = await client.knows(ended["revision"])
+            listing = await client.knows(ended.revision)
             assert listing.complete == (history != "kept")
             assert client.known == await listed(port)
-            assert (await discovery.status())["failed"] == 1
-            await client.knows((await discovery.change("DRAINING", count=1))["revision"])
+            assert (await discovery.status()).failed == 1
+            await client.knows((await discovery.change("DRAINING", count=1)).revision)
             assert client.known == await listed(port)
             await discovery.begin_outage("silent")  # a restart alone
             await discovery.end_outage("renumbered")
@@ -220,7 +228,7 @@
                 writer.close()
             assert json.loads(bodies[0]) == json.loads(bodies[3])
             assert json.loads(bodies[1])["members"] == []
-            counts = await discovery.status()
+            counts = keys(await discovery.status())
             expected = {
                 "calls": 12,
                 "whole": 2,
@@ -286,7 +294,7 @@
                     await until(discovery, queued=1)  # the first that waited has begun
                     await discovery.change("DRAINING", count=1)
             assert revisions == [1, 1, 2, 3]  # what had not begun is answered with what is known by then
-            counts = await discovery.status()
+            counts = keys(await discovery.status())
             assert counts["queue_most"] == 3
             assert counts["left"] == 1
             assert counts["queued"] == 0
@@ -301,7 +309,7 @@
             await discovery.set_steady_changes(per_s=1000.0, seed=1)
             known_revision = (await client.knows(7)).revision
             await discovery.set_steady_changes(per_s=0)
-            revision = (await discovery.status())["revision"]
+            revision = (await discovery.status()).revision
             if known_revision < revision:
                 await client.knows(revision)
             assert client.known == await listed(port)
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -19,13 +19,8 @@
 from nickelmount.fleet.arrivals import arrival_times_ns
 from nickelmount.fleet.emulated_endpoints import EmulatedEndpoints
 from nickelmount.fleet.load_connections import LoadConnectionPool
-from nickelmount.fleet.load_generator import (
-    AgentTarget,
-    DirectTarget,
-    LoadGenerator,
-    LoadSettings,
-    RequestStream,
-)
+from nickelmount.fleet.load_generator import LoadGenerator, RequestStream
+from nickelmount.fleet.load_messages import AgentTarget, DirectTarget, LoadSettings
 from nickelmount.fleet.request_statistics import RequestPath
 from nickelmount.fleet.request_tracker import RequestTracker
 
@@ -61,7 +56,7 @@
 def test_every_request_is_answered_once_and_counts_in_its_phase_and_path() -> None:
     async def body() -> None:
         servers, tracker = EmulatedEndpoints(), new_tracker()
-        ports = (await servers.start(2, work_ms=1.0))["ports"]
+        ports = (await servers.start(2, work_ms=1.0)).ports
         pools = [LoadConnectionPool(port, tracker.end) for port in ports]
         started: list[tuple[LoadConnectionPool, RequestPath, str, int]] = [
             (pools[0], "through", "calm", 20),
@@ -84,9 +79,9 @@
             assert figures["calls"] == figures["served"] == number
             assert figures["refused"] == figures["failed"] == figures["lost"] == 0
             assert [h.get_total_count() for h in decoded(figures).values()] == [number] * 3
-        reached = await servers.counts()
-        assert reached["requests"] == 55
-        assert reached["ids_seen_twice"] == 0
+        reached = await servers.status()
+        assert reached.requests == 55
+        assert reached.repeated_ids == 0
         for pool in pools:
             pool.close()
         servers.close()
@@ -150,13 +145,13 @@
 def test_no_connection_is_reused_before_its_delay() -> None:
     async def body() -> None:
         servers, tracker = EmulatedEndpoints(), new_tracker()
-        pool = LoadConnectionPool((await servers.start(1))["ports"][0], tracker.end)
+        pool = LoadConnectionPool((await servers.start(1)).ports[0], tracker.end)
         await pool.open_ahead(1)
         for last_used_ns, connections in ((0, 1), (0, 1), (time.monotonic_ns() + 10**12, 2)):
             pool.ready[0].last_used_ns = last_used_ns
             tracker.start(pool, "direct", time.monotonic_ns())
             await tracker.all_ended.wait()
-            assert (await servers.counts())["connections"] == connections
+            assert (await servers.status()).connections == connections
         assert result(tracker)["waited"] == 1
         pool.close()
         servers.close()
@@ -183,7 +178,7 @@
 def test_requests_due_while_the_loop_is_blocked_count_their_lateness() -> None:
     async def body() -> None:
         servers, tracker = EmulatedEndpoints(), new_tracker()
-        pool = LoadConnectionPool((await servers.start(1))["ports"][0], tracker.end)
+        pool = LoadConnectionPool((await servers.start(1)).ports[0], tracker.end)
         await pool.open_ahead(6)
         stream = RequestStream(
             tracker, "direct", [pool], chain([n * 10 * MS_NS for n in range(6)], repeat(10**15))
@@ -211,7 +206,7 @@
 def test_an_endpoint_answers_probes_and_reports_its_load() -> None:
     async def body() -> None:
         servers = EmulatedEndpoints()
-        port = (await servers.start(1, work_ms=20_000.0))["ports"][0]
+        port = (await servers.start(1, work_ms=20_000.0)).ports[0]
         clients: list[Conversation] = []
 
         async def ask(target: str, *headers: str) -> Conversation:
@@ -222,7 +217,7 @@
 
         assert (await (await ask("/api")).read()).status == 404
         held = [await ask("/api", "Request-Id: a1") for _ in range(2)]
-        while (await servers.counts())["requests"] < 2:
+        while (await servers.status()).requests < 2:
             await asyncio.sleep(0)
         probe = await (await ask("/_load")).read()
         assert (probe.status, probe.body) == (200, b"inflight=2,queue=0,latency_ms=0.000")
@@ -230,10 +225,10 @@
         held[0].close()  # gives up
         while (answer := await (await ask("/ping")).read()).body[:10] != b"inflight=1":
             assert answer.status == 200
-        counts = await servers.counts()
-        assert counts["requests"] == 2
-        assert counts["ids_seen_twice"] == 1
-        assert counts["probes"] >= 2
+        counts = await servers.status()
+        assert counts.requests == 2
+        assert counts.repeated_ids == 1
+        assert counts.probes >= 2
         for client in clients:
             client.close()
         servers.close()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -25,6 +25,7 @@
     RequestArrived,
 )
 from nickelmount.fleet.agent_config import config
+from nickelmount.fleet.discovery_messages import DiscoveryStart
 from nickelmount.fleet.emulated_discovery import EmulatedDiscovery
 from nickelmount.fleet.experiment import AgentSettings, Experiment
 from nickelmount.fleet.hollow_agents import HollowAgent
@@ -259,8 +260,8 @@
         standin = EmulatedDiscovery()
         e = Experiment(name="x", agents=AgentSettings(instance_count=1))
         try:
-            begun = await standin.start(300, 7, 3, 4, 5, [9001], 10)
-            doc = config(e, 0, begun["port"], {"revision": 0, "complete": True, "members": []})
+            begun = await standin.start(DiscoveryStart(300, 7, 3, 4, 5, [9001], 10))
+            doc = config(e, 0, begun.port, {"revision": 0, "complete": True, "members": []})
             agents = [HollowAgent(config_from(doc, {}, CLOCK), CLOCK, i) for i in range(12)]
             for a in agents:
                 a.start()
@@ -275,8 +276,8 @@
             for a in agents[::2]:
                 a.start()
             await standin.change("SERVING", replaced=True)
-            revision = (await standin.status())["revision"]
-            while not all(a.received_at_ns(revision, ended["at_ns"]) for a in agents):
+            revision = (await standin.status()).revision
+            while not all(a.received_at_ns(revision, ended.at_ns) for a in agents):
                 await asyncio.sleep(0.02)
             serving = standin.serving_ids()
             for a in agents:
--- a/tests/test_versioned_list.py
+++ b/tests/test_versioned_list.py
@@ -10,13 +10,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from nickelmount.fleet.versioned_list import ListEntry, VersionedList, Where, generate, pick
+from nickelmount.fleet.versioned_list import (
+    ListEntry,
+    ServerLayout,
+    VersionedList,
+    Where,
+    generate,
+    pick,
+)
 
 NOW_MS = 1_700_000_000_000
 
 
 def new_list(servers: int = 8, history: int = 100) -> VersionedList:
-    return VersionedList(generate(servers, 1, 2, 2, 2, [9001, 9002, 9003]), history)
+    return VersionedList(generate(ServerLayout(servers, 1, 2, 2, 2, [9001, 9002, 9003])), history)
 
 
 def ids(versioned_list: VersionedList) -> list[str]:
@@ -104,8 +111,10 @@
 
 
 def test_servers_are_spread_over_racks_and_picked_by_place() -> None:
-    fleet = generate(120, 3, 2, 3, 4, [9001, 9002])
-    assert fleet == generate(120, 3, 2, 3, 4, [9001, 9002]) != generate(120, 4, 2, 3, 4, [9001, 9002])
+    layout = ServerLayout(120, 3, 2, 3, 4, [9001, 9002])
+    other_seed = ServerLayout(120, 4, 2, 3, 4, [9001, 9002])
+    fleet = generate(layout)
+    assert fleet == generate(layout) != generate(other_seed)
     assert len({e.id for e in fleet}) == 120
     assert len({e.address for e in fleet}) == 2
     assert {e.zone for e in fleet} == {f"r{r}-z{z}" for r in range(2) for z in range(3)}
