--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -72,7 +72,7 @@
         self.updates.put_nowait(listing)
 
     async def knows(self, revision: int) -> EndpointList:
-        """Watch, again where it breaks, until this revision has been told."""
+        """Watch, again where it breaks, until this revision has arrived."""
         self.watch()
         while (listing := await self.updates.get()) is None or listing.revision < revision:
             if listing is None:
@@ -81,7 +81,7 @@
 
 
 async def listed(port: int) -> dict[object, ListedEndpoint]:
-    """The whole list, to one who asks for the first time."""
+    """The complete list, as a new client gets it."""
     client = ListClient(port)
     client.discovery.fetch(client.receive)
     assert (listing := await client.updates.get()) is not None
@@ -123,8 +123,8 @@
             assert counts["connections"] == 40
             assert counts["waiting_most"] == 20
             assert 0 < counts["most_calls_in_100ms"] <= counts["calls"]
-            made = (await discovery.published_changes())["changes"]
-            assert [(c.revision, c.at_ns, c.changed_entries) for c in changes] == made
+            published = (await discovery.published_changes())["changes"]
+            assert [(c.revision, c.at_ns, c.changed_entries) for c in changes] == published
 
     asyncio.run(run())
 
@@ -132,6 +132,12 @@
 @pytest.mark.parametrize("kind", ["refused", "silent"])
 @pytest.mark.parametrize("history", ["kept", "gone", "renumbered"])
 def test_after_an_outage_all_changes_made_in_it_are_known(kind: Any, history: Any) -> None:
+    """Discovery fails while a client watches, and a zone is deleted meanwhile.
+
+    Afterwards discovery has its history, or none, or none and counts revisions from 1 again. The client gets
+    the change in each case, as a delta or with the complete list.
+    """
+
     async def run() -> None:
         async with emulated_discovery() as (discovery, port):
             client = ListClient(port)
@@ -168,6 +174,11 @@
 def test_a_watch_opened_in_a_silent_outage_is_reset_at_its_end(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """Discovery fails silently: connections are accepted by the kernel alone, and nothing is answered.
+
+    A client gives up its watch and opens another one in the outage. The end of the outage resets it, although
+    discovery has never seen it, and the client gets the change that it missed.
+    """
     monkeypatch.setattr(discovery_module, "LATE_S", 0.05)
     monkeypatch.setattr(discovery_module, "ANSWER_S", 50.0)
 
@@ -184,7 +195,7 @@
                 connected.set()
 
             monkeypatch.setattr(discovery_module._DiscoveryConnection, "connection_made", made)
-            await connected.wait()  # the kernel alone has taken it
+            await connected.wait()
             await discovery.change("DRAINING", where="region", seed=3)
             await discovery.end_outage()
             assert await client.updates.get() is None
@@ -196,6 +207,8 @@
 
 
 def test_malformed_calls_are_refused_and_all_is_counted() -> None:
+    """Clients send calls of each form, and others that have none. The latter get 400 or 404 and a close."""
+
     async def run() -> None:
         async with emulated_discovery() as (discovery, port):
             requests: list[tuple[str, int]] = [
@@ -247,13 +260,15 @@
 
 
 def test_a_client_that_disconnects_waits_no_more() -> None:
+    """One client disconnects while its watch waits: it is abandoned. Another gets an empty delta."""
+
     async def run() -> None:
         async with emulated_discovery() as (discovery, port):
-            for wait_ms, leaves in ((50, True), (100, False)):
+            for wait_ms, disconnects in ((50, True), (100, False)):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(f"GET /catalog/members?index=1&wait={wait_ms} HTTP/1.1\r\n\r\n".encode())
                 await until(discovery, waiting=1)
-                if not leaves:
+                if not disconnects:
                     assert b"200 OK" in await reader.readline()
                 writer.close()
                 await until(discovery, waiting=0)
@@ -263,6 +278,11 @@
 
 
 def test_only_some_large_responses_are_written_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Five clients ask for a large list and do not read it. Two responses begin, and three are queued.
+
+    Meanwhile the list changes, twice, and one of the queued clients disconnects. Small responses pass the
+    queue, and a response that begins late has what is known by then.
+    """
     monkeypatch.setattr(large_responses, "MAX_CONCURRENT_RESPONSES", 2)
 
     async def run() -> None:
@@ -281,8 +301,8 @@
                 await until(discovery, calls=n + 3)  # in this order
             await until(discovery, queued=3)
             await discovery.change("DRAINING", count=1)
-            assert len((await client.knows(2)).entries) == 1  # what is small goes past them
-            stalled.pop()[1].close()  # the last leaves
+            assert len((await client.knows(2)).entries) == 1
+            stalled.pop()[1].close()
             await until(discovery, queued=2)
             revisions = []
             for reader, writer in stalled:
@@ -291,9 +311,9 @@
                 revisions.append(json.loads(await reader.readexactly(length))["revision"])
                 writer.close()
                 if len(revisions) == 1:
-                    await until(discovery, queued=1)  # the first that waited has begun
+                    await until(discovery, queued=1)
                     await discovery.change("DRAINING", count=1)
-            assert revisions == [1, 1, 2, 3]  # what had not begun is answered with what is known by then
+            assert revisions == [1, 1, 2, 3]
             counts = keys(await discovery.status())
             assert counts["queue_most"] == 3
             assert counts["left"] == 1
@@ -314,8 +334,8 @@
                 await client.knows(revision)
             assert client.known == await listed(port)
             changes = (await discovery.published_changes())["changes"]
-            assert [c[0] for c in changes] == list(range(2, revision + 1))
-            assert {c[2] for c in changes} == {1}
+            assert [change.revision for change in changes] == list(range(2, revision + 1))
+            assert {change.entries for change in changes} == {1}
             draining = [m for m in client.known.values() if m.endpoint.status is EndpointStatus.DRAINING]
             assert len(draining) == (revision - 1) % 2
 
@@ -323,6 +343,8 @@
 
 
 def test_its_process_ends_with_its_input() -> None:
+    """A command that comes too early or has a wrong argument is answered with an error, and others go on."""
+
     async def run() -> None:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
--- a/tests/test_fleet_runner.py
+++ b/tests/test_fleet_runner.py
@@ -38,6 +38,10 @@
 
 
 def test_every_agent_has_the_last_change_and_no_request_is_lost(tmp_path: Path) -> None:
+    """Servers drain, a rack is lost, agents restart, and discovery fails and forgets its history.
+
+    Each agent then needs the complete list.
+    """
     ended = fleet("run", SMALL, "--quiet", "--out", tmp_path)
     assert ended.returncode == 0, ended.stderr
     measured = figures(tmp_path)
@@ -48,9 +52,7 @@
     assert sum(x for name, x in calls.items() if name.endswith(".calls.count")) > 200
     assert sum(x for name, x in calls.items() if name.endswith(".lost.count")) == 0, calls
     assert measured["servers.seen_twice.count"] == 0
-    assert (
-        measured["discovery.whole.count"] >= 24
-    )  # the history was gone: each agent needed the complete list
+    assert measured["discovery.whole.count"] >= 24
 
 
 @pytest.mark.parametrize(
@@ -99,6 +101,7 @@
 
 
 def test_an_interrupt_ends_it_and_leaves_no_process_behind(tmp_path: Path) -> None:
+    """A person interrupts a run. It ends with one line, without results, and so do all its processes."""
     with running_fleet(tmp_path) as running:
         children = psutil.Process(running.pid).children(recursive=True)
         # Endpoints, discovery, two workers, the keeper of agents, an agent, load generator.
@@ -113,6 +116,7 @@
 
 
 def test_a_runner_that_is_killed_leaves_no_process_behind(tmp_path: Path) -> None:
+    """The runner is killed and can end nothing. Its processes end, since their input does."""
     with running_fleet(tmp_path) as running:
         children = psutil.Process(running.pid).children(recursive=True)
         running.kill()
@@ -127,6 +131,7 @@
 def test_a_run_that_exceeds_a_limit_is_given_up_and_leaves_no_process(
     monkeypatch: pytest.MonkeyPatch, limit: str, value: float, message: str
 ) -> None:
+    """A run takes more memory, or more time, than it may."""
     monkeypatch.setattr(runner, limit, value)
     with pytest.raises(RunError, match=message):
         asyncio.run(ExperimentRun(read_experiment(SMALL), 1, lambda _: None).run())
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import sys
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import AsyncIterator, Awaitable, Callable, Iterator
 from functools import partial
 from itertools import chain, islice, repeat
 from pathlib import Path
@@ -31,14 +32,38 @@
 
 
 def within(body: Callable[[], Awaitable[None]]) -> None:
+    """Run a test; one that hangs fails."""
+
     async def bounded() -> None:
-        async with asyncio.timeout(30):  # a hang fails the test; nothing is timed by this
+        async with asyncio.timeout(30):  # nothing is timed by this
             await body()
             await asyncio.sleep(0)  # what was closed is closed in the next turn
 
     asyncio.run(bounded())
 
 
+@contextlib.asynccontextmanager
+async def emulated_endpoints(
+    number: int = 1, work_ms: float = 0.0
+) -> AsyncIterator[tuple[EmulatedEndpoints, list[int]]]:
+    """Endpoints that listen, and their ports."""
+    endpoints = EmulatedEndpoints()
+    try:
+        yield endpoints, (await endpoints.start(number, work_ms=work_ms)).ports
+    finally:
+        endpoints.close()
+
+
+@contextlib.contextmanager
+def new_pool(port: int, tracker: RequestTracker) -> Iterator[LoadConnectionPool]:
+    """A pool of connections that is closed at the end."""
+    pool = LoadConnectionPool(port, tracker.end)
+    try:
+        yield pool
+    finally:
+        pool.close()
+
+
 def new_tracker(timeout_ms: int = 5000, method: str = "GET", body_bytes: int = 0) -> RequestTracker:
     tracker = RequestTracker("tile", method, timeout_ms, body_bytes, 1)
     tracker.begin_phase("calm")
@@ -54,42 +79,46 @@
 
 
 def test_every_request_is_answered_once_and_counts_in_its_phase_and_path() -> None:
+    """A phase ends while its requests are in flight. They count in the phase in which they were due."""
+
     async def body() -> None:
-        servers, tracker = EmulatedEndpoints(), new_tracker()
-        ports = (await servers.start(2, work_ms=1.0)).ports
-        pools = [LoadConnectionPool(port, tracker.end) for port in ports]
-        started: list[tuple[LoadConnectionPool, RequestPath, str, int]] = [
-            (pools[0], "through", "calm", 20),
-            (pools[1], "direct", "calm", 30),
-            (pools[1], "direct", "changes", 5),
-        ]
-        for pool, path, phase, number in started:
-            tracker.begin_phase(phase)  # those of the phase before are still in flight
-            for _ in range(number):
-                tracker.start(pool, path, time.monotonic_ns())
-        await tracker.all_ended.wait()
-        wanted: dict[tuple[str, RequestPath], int] = {
-            ("calm", "through"): 20,
-            ("calm", "direct"): 30,
-            ("changes", "through"): 0,
-            ("changes", "direct"): 5,
-        }
-        for (phase, path), number in wanted.items():
-            figures = result(tracker, path, phase)
-            assert figures["calls"] == figures["served"] == number
-            assert figures["refused"] == figures["failed"] == figures["lost"] == 0
-            assert [h.get_total_count() for h in decoded(figures).values()] == [number] * 3
-        reached = await servers.status()
-        assert reached.requests == 55
-        assert reached.repeated_ids == 0
-        for pool in pools:
-            pool.close()
-        servers.close()
+        tracker = new_tracker()
+        async with emulated_endpoints(2, work_ms=1.0) as (endpoints, ports):
+            with new_pool(ports[0], tracker) as through, new_pool(ports[1], tracker) as direct:
+                started: list[tuple[LoadConnectionPool, RequestPath, str, int]] = [
+                    (through, "through", "calm", 20),
+                    (direct, "direct", "calm", 30),
+                    (direct, "direct", "changes", 5),
+                ]
+                for pool, path, phase, number in started:
+                    tracker.begin_phase(phase)
+                    for _ in range(number):
+                        tracker.start(pool, path, time.monotonic_ns())
+                await tracker.all_ended.wait()
+                expected: dict[tuple[str, RequestPath], int] = {
+                    ("calm", "through"): 20,
+                    ("calm", "direct"): 30,
+                    ("changes", "through"): 0,
+                    ("changes", "direct"): 5,
+                }
+                for (phase, path), number in expected.items():
+                    figures = result(tracker, path, phase)
+                    assert figures["calls"] == figures["served"] == number
+                    assert figures["refused"] == figures["failed"] == figures["lost"] == 0
+                    assert [h.get_total_count() for h in decoded(figures).values()] == [number] * 3
+                status = await endpoints.status()
+                assert status.requests == 55
+                assert status.repeated_ids == 0
 
     within(body)
 
 
 def test_a_request_without_an_answer_is_lost_after_its_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An endpoint accepts a request and never answers. The request is lost, and its connection closed.
+
+    The answer might still arrive, and would be taken for that of the connection's next request.
+    """
+
     async def body() -> None:
         monkeypatch.setattr(request_tracker, "ANSWER_GRACE_S", 0.02)
         peer, tracker = await Peer().start(), new_tracker(timeout_ms=30)
@@ -99,7 +128,6 @@
         figures = result(tracker)
         assert figures["lost"] == figures["calls"] == 1
         assert decoded(figures)["from_due"].get_max_value() >= 50_000
-        # What is answered too late must not become the answer to another request.
         assert not pool.ready
         await (await peer.requests.get()).peer.ended()
         await peer.stop()
@@ -108,6 +136,7 @@
 
 
 async def result_of_one(respond: Callable[[Message], Awaitable[None]]) -> dict[str, Any]:
+    """The result of one request that is responded to like this."""
     peer, tracker = await Peer().start(), new_tracker(method="POST", body_bytes=7)
     pool = LoadConnectionPool(peer.port, tracker.end)
     tracker.start(pool, "direct", time.monotonic_ns())
@@ -122,6 +151,8 @@
 
 
 def test_rejected_failed_and_lost_requests_are_counted_apart() -> None:
+    """An endpoint rejects, fails, sends what is no HTTP, closes without an answer, or does not listen."""
+
     async def close(message: Message) -> None:
         message.peer.close()
 
@@ -143,18 +174,19 @@
 
 
 def test_no_connection_is_reused_before_its_delay() -> None:
+    """A request finds a connection that was used just now. It gets a new one, as it would in the agent."""
+
     async def body() -> None:
-        servers, tracker = EmulatedEndpoints(), new_tracker()
-        pool = LoadConnectionPool((await servers.start(1)).ports[0], tracker.end)
-        await pool.open_ahead(1)
-        for last_used_ns, connections in ((0, 1), (0, 1), (time.monotonic_ns() + 10**12, 2)):
-            pool.ready[0].last_used_ns = last_used_ns
-            tracker.start(pool, "direct", time.monotonic_ns())
-            await tracker.all_ended.wait()
-            assert (await servers.status()).connections == connections
-        assert result(tracker)["waited"] == 1
-        pool.close()
-        servers.close()
+        tracker = new_tracker()
+        async with emulated_endpoints() as (endpoints, ports):
+            with new_pool(ports[0], tracker) as pool:
+                await pool.open_ahead(1)
+                for last_used_ns, connections in ((0, 1), (0, 1), (time.monotonic_ns() + 10**12, 2)):
+                    pool.ready[0].last_used_ns = last_used_ns
+                    tracker.start(pool, "direct", time.monotonic_ns())
+                    await tracker.all_ended.wait()
+                    assert (await endpoints.status()).connections == connections
+                assert result(tracker)["waited"] == 1
 
     within(body)
 
@@ -176,27 +208,30 @@
 
 
 def test_requests_due_while_the_loop_is_blocked_count_their_lateness() -> None:
+    """The load generator's loop is blocked for 51 ms, in which six requests fall due, 10 ms apart.
+
+    They are sent together afterwards. Measured from when they were written, nothing of that is seen; measured
+    from when they were due, all of it is.
+    """
+
     async def body() -> None:
-        servers, tracker = EmulatedEndpoints(), new_tracker()
-        pool = LoadConnectionPool((await servers.start(1)).ports[0], tracker.end)
-        await pool.open_ahead(6)
-        stream = RequestStream(
-            tracker, "direct", [pool], chain([n * 10 * MS_NS for n in range(6)], repeat(10**15))
-        )
-        stream.start(time.monotonic_ns())
-        block_loop(0.051)
-        while not tracker.current["direct"].started:
-            await asyncio.sleep(0)
-        await tracker.all_ended.wait()
-        stream.stop()
-        pool.close()
-        servers.close()
+        tracker = new_tracker()
+        async with emulated_endpoints() as (_, ports):
+            with new_pool(ports[0], tracker) as pool:
+                await pool.open_ahead(6)
+                due_ns = chain([n * 10 * MS_NS for n in range(6)], repeat(10**15))
+                stream = RequestStream(tracker, "direct", [pool], due_ns)
+                stream.start(time.monotonic_ns())
+                block_loop(0.051)
+                while not tracker.current["direct"].started:
+                    await asyncio.sleep(0)
+                await tracker.all_ended.wait()
+                stream.stop()
         figures = result(tracker)
         from_due, from_written, lateness = decoded(figures).values()
         assert figures["served"] == 6
         assert figures["waited"] == 0
         assert lateness.get_max_value() >= 50_000
-        # They were due 10 ms apart and sent together; from when they were written nothing of that is seen.
         assert lateness.get_mean_value() >= 25_900
         assert from_due.get_mean_value() - from_written.get_mean_value() >= 25_900
 
@@ -204,34 +239,35 @@
 
 
 def test_an_endpoint_answers_probes_and_reports_its_load() -> None:
+    """Two requests are in flight, with the same Request-Id. One client disconnects: it counts no more."""
+
     async def body() -> None:
-        servers = EmulatedEndpoints()
-        port = (await servers.start(1, work_ms=20_000.0)).ports[0]
-        clients: list[Conversation] = []
-
-        async def ask(target: str, *headers: str) -> Conversation:
-            client = Conversation(*await asyncio.open_connection("127.0.0.1", port))
-            clients.append(client)
-            await client.write("\r\n".join([f"GET {target} HTTP/1.1", "Host: a", *headers, "", ""]).encode())
-            return client
-
-        assert (await (await ask("/api")).read()).status == 404
-        held = [await ask("/api", "Request-Id: a1") for _ in range(2)]
-        while (await servers.status()).requests < 2:
-            await asyncio.sleep(0)
-        probe = await (await ask("/_load")).read()
-        assert (probe.status, probe.body) == (200, b"inflight=2,queue=0,latency_ms=0.000")
-        assert probe.headers["server-load"] == probe.body.decode()
-        held[0].close()  # gives up
-        while (answer := await (await ask("/ping")).read()).body[:10] != b"inflight=1":
-            assert answer.status == 200
-        counts = await servers.status()
-        assert counts.requests == 2
-        assert counts.repeated_ids == 1
-        assert counts.probes >= 2
-        for client in clients:
-            client.close()
-        servers.close()
+        async with emulated_endpoints(work_ms=20_000.0) as (endpoints, ports):
+            clients: list[Conversation] = []
+
+            async def send(target: str, *headers: str) -> Conversation:
+                client = Conversation(*await asyncio.open_connection("127.0.0.1", ports[0]))
+                clients.append(client)
+                lines = [f"GET {target} HTTP/1.1", "Host: a", *headers, "", ""]
+                await client.write("\r\n".join(lines).encode())
+                return client
+
+            assert (await (await send("/api")).read()).status == 404
+            in_flight = [await send("/api", "Request-Id: a1") for _ in range(2)]
+            while (await endpoints.status()).requests < 2:
+                await asyncio.sleep(0)
+            probe = await (await send("/_load")).read()
+            assert (probe.status, probe.body) == (200, b"inflight=2,queue=0,latency_ms=0.000")
+            assert probe.headers["server-load"] == probe.body.decode()
+            in_flight[0].close()
+            while (answer := await (await send("/ping")).read()).body[:10] != b"inflight=1":
+                assert answer.status == 200
+            status = await endpoints.status()
+            assert status.requests == 2
+            assert status.repeated_ids == 1
+            assert status.probes >= 2
+            for client in clients:
+                client.close()
 
     within(body)
 
@@ -266,10 +302,10 @@
 
 def test_both_roles_as_processes_agree_on_the_requests() -> None:
     async def body() -> None:
-        servers = await RoleProcess().start("nickelmount.fleet.emulated_endpoints")
-        client = await RoleProcess().start("nickelmount.fleet.load_generator")
-        ports = (await servers.call("start", ports=3, work_ms=0))["ports"]
-        await client.call(
+        endpoints = await RoleProcess().start("nickelmount.fleet.emulated_endpoints")
+        load_generator = await RoleProcess().start("nickelmount.fleet.load_generator")
+        ports = (await endpoints.call("start", ports=3, work_ms=0))["ports"]
+        await load_generator.call(
             "start",
             agents=[{"name": "n1", "port": ports[0]}],
             rate=200,
@@ -283,20 +319,20 @@
             body_bytes=0,
         )
         for phase, min_requests in (("calm", 50), ("changes", 100)):
-            await client.call("phase", name=phase)
-            while (await servers.call("counts"))["requests"] < min_requests:
+            await load_generator.call("phase", name=phase)
+            while (await endpoints.call("counts"))["requests"] < min_requests:
                 pass
-        await client.call("stop")
-        results = await client.call("results")
+        await load_generator.call("stop")
+        results = await load_generator.call("results")
         paths = [path for phase in results["phases"].values() for path in phase.values()]
-        reached = await servers.call("counts")
+        reached = await endpoints.call("counts")
         assert reached["requests"] == sum(p["calls"] for p in paths) == sum(p["served"] for p in paths)
         assert reached["ids_seen_twice"] == 0
         assert set(results["phases"]) == {"warm", "calm", "changes"}
         assert all(results["phases"]["changes"][path]["calls"] for path in ("through", "direct"))
         assert results["cpu_s"] > 0
-        await client.end()
-        await servers.end()
+        await load_generator.end()
+        await endpoints.end()
 
     within(body)
 
