--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -11,6 +11,7 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 
 from nickelmount.agent import discovery_client
@@ -19,6 +20,7 @@
 from nickelmount.agent.discovery_connection import DiscoveryConnection
 from nickelmount.balancer.events import EndpointStatus
 from nickelmount.fleet import large_responses
+from nickelmount.fleet.discovery_messages import DiscoveryStart, DiscoveryStatus
 from nickelmount.fleet.emulated_discovery import EmulatedDiscovery
 from nickelmount.fleet.listening_port import SEND_BUFFER_BYTES
 from nickelmount.protocol.address import Address
@@ -37,8 +39,8 @@
     asyncio.get_running_loop().set_exception_handler(lambda _, fault: faults.append(fault))
     try:
         async with asyncio.timeout(60):  # a hang fails the test; nothing is timed by this
-            started = await discovery.start(servers, 7, 2, 2, 2, [9001, 9002], history)
-            yield discovery, started["port"]
+            started = await discovery.start(DiscoveryStart(servers, 7, 2, 2, 2, [9001, 9002], history))
+            yield discovery, started.port
     finally:
         await discovery.close()
     assert faults == []
@@ -67,7 +69,7 @@
         self.updates.put_nowait(listing)
 
     async def knows(self, revision: int) -> EndpointList:
-        """Watch, again where it breaks, until this revision has been told."""
+        """Watch, again where it breaks, until this revision has arrived."""
         self.watch()
         while (listing := await self.updates.get()) is None or listing.revision < revision:
             if listing is None:
@@ -76,7 +78,7 @@
 
 
 async def listed(port: int) -> dict[object, ListedEndpoint]:
-    """The whole list, to one who asks for the first time."""
+    """The complete list, as a new client gets it."""
     client = ListClient(port)
     client.discovery.fetch(client.receive)
     assert (listing := await client.updates.get()) is not None
@@ -84,8 +86,14 @@
     return client.known
 
 
+def keys(status: DiscoveryStatus) -> dict[str, Any]:
+    """The counts under their keys on the wire."""
+    return {**msgspec.to_builtins(status)}
+
+
 async def until(discovery: EmulatedDiscovery, **figures: int) -> None:
-    while (counts := await discovery.status()) | figures != counts:
+    """Wait until the counts, by their keys on the wire, are these."""
+    while (counts := keys(await discovery.status())) | figures != counts:
         await asyncio.sleep(0)
 
 
@@ -101,19 +109,19 @@
                 await discovery.change("DELETED", where="rack", seed=3),
                 await discovery.change("SERVING", replaced=True),
             ]
-            assert changes[0]["changed"] == 10
-            assert changes[1]["revision"] == 3
+            assert changes[0].changed_entries == 10
+            assert changes[1].revision == 3
             for client in clients:
                 assert not (await client.knows(4)).complete
                 assert client.known == await listed(port)
             assert len(clients[0].known) == 40
-            counts = await discovery.status()
+            counts = keys(await discovery.status())
             assert counts["whole"] == 40
             assert counts["connections"] == 40
             assert counts["waiting_most"] == 20
             assert 0 < counts["most_calls_in_100ms"] <= counts["calls"]
-            made = (await discovery.published_changes())["changes"]
-            assert [(c["revision"], c["at_ns"], c["changed"]) for c in changes] == made
+            published = (await discovery.published_changes())["changes"]
+            assert [(c.revision, c.at_ns, c.changed_entries) for c in changes] == published
 
     asyncio.run(run())
 
@@ -121,6 +129,12 @@
 @pytest.mark.parametrize("kind", ["refused", "silent"])
 @pytest.mark.parametrize("history", ["kept", "gone", "renumbered"])
 def test_after_an_outage_all_changes_made_in_it_are_known(kind: Any, history: Any) -> None:
+    """Discovery fails while a client watches, and a zone is deleted meanwhile.
+
+    Afterwards discovery has its history, or none, or none and counts revisions from 1 again. The client gets
+    the change in each case, as a delta or with the complete list.
+    """
+
     async def run() -> None:
         async with emulated_discovery() as (discovery, port):
             client = ListClient(port)
@@ -137,14 +151,14 @@
                 assert await client.updates.get() is None
             assert client.updates.empty()
             ended = await discovery.end_outage(history)
-            assert ended["revision"] == (1 if history == "renumbered" else 4)
+            assert ended.revision == (1 if history == "renumbered" else 4)
             if kind == "silent":
                 assert await client.updates.get() is None  # reset
-            listing = await client.knows(ended["revision"])
+            listing = await client.knows(ended.revision)
             assert listing.complete == (history != "kept")
             assert client.known == await listed(port)
-            assert (await discovery.status())["failed"] == 1
-            await client.knows((await discovery.change("DRAINING", count=1))["revision"])
+            assert (await discovery.status()).failed == 1
+            await client.knows((await discovery.change("DRAINING", count=1)).revision)
             assert client.known == await listed(port)
             await discovery.begin_outage("silent")  # a restart alone
             await discovery.end_outage("renumbered")
@@ -157,6 +171,11 @@
 def test_a_watch_opened_in_a_silent_outage_is_reset_at_its_end(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """Discovery fails silently: connections are accepted by the kernel alone, and nothing is answered.
+
+    A client gives up its watch and opens another one in the outage. The end of the outage resets it, although
+    discovery has never seen it, and the client gets the change that it missed.
+    """
     monkeypatch.setattr(discovery_client, "LONG_POLL_GRACE_S", 0.05)
     monkeypatch.setattr(discovery_client, "CALL_TIMEOUT_S", 50.0)
 
@@ -173,7 +192,7 @@
                 connected.set()
 
             monkeypatch.setattr(DiscoveryConnection, "connection_made", made)
-            await connected.wait()  # the kernel alone has taken it
+            await connected.wait()
             await discovery.change("DRAINING", where="region", seed=3)
             await discovery.end_outage()
             assert await client.updates.get() is None
@@ -185,6 +204,8 @@
 
 
 def test_malformed_calls_are_refused_and_all_is_counted() -> None:
+    """Clients send calls of each form, and others that have none. The latter get 400 or 404 and a close."""
+
     async def run() -> None:
         async with emulated_discovery() as (discovery, port):
             requests: list[tuple[str, int]] = [
@@ -217,7 +238,7 @@
                 writer.close()
             assert json.loads(bodies[0]) == json.loads(bodies[3])
             assert json.loads(bodies[1])["members"] == []
-            counts = await discovery.status()
+            counts = keys(await discovery.status())
             expected = {
                 "calls": 12,
                 "whole": 2,
@@ -236,13 +257,15 @@
 
 
 def test_a_client_that_disconnects_waits_no_more() -> None:
+    """One client disconnects while its watch waits: it is abandoned. Another gets an empty delta."""
+
     async def run() -> None:
         async with emulated_discovery() as (discovery, port):
-            for wait_ms, leaves in ((50, True), (100, False)):
+            for wait_ms, disconnects in ((50, True), (100, False)):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(f"GET /catalog/members?index=1&wait={wait_ms} HTTP/1.1\r\n\r\n".encode())
                 await until(discovery, waiting=1)
-                if not leaves:
+                if not disconnects:
                     assert b"200 OK" in await reader.readline()
                 writer.close()
                 await until(discovery, waiting=0)
@@ -252,6 +275,11 @@
 
 
 def test_only_some_large_responses_are_written_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Five clients ask for a large list and do not read it. Two responses begin, and three are queued.
+
+    Meanwhile the list changes, twice, and one of the queued clients disconnects. Small responses pass the
+    queue, and a response that begins late has what is known by then.
+    """
     monkeypatch.setattr(large_responses, "MAX_CONCURRENT_RESPONSES", 2)
 
     async def run() -> None:
@@ -270,8 +298,8 @@
                 await until(discovery, calls=n + 3)  # in this order
             await until(discovery, queued=3)
             await discovery.change("DRAINING", count=1)
-            assert len((await client.knows(2)).entries) == 1  # what is small goes past them
-            stalled.pop()[1].close()  # the last leaves
+            assert len((await client.knows(2)).entries) == 1
+            stalled.pop()[1].close()
             await until(discovery, queued=2)
             revisions = []
             for reader, writer in stalled:
@@ -280,10 +308,10 @@
                 revisions.append(json.loads(await reader.readexactly(length))["revision"])
                 writer.close()
                 if len(revisions) == 1:
-                    await until(discovery, queued=1)  # the first that waited has begun
+                    await until(discovery, queued=1)
                     await discovery.change("DRAINING", count=1)
-            assert revisions == [1, 1, 2, 3]  # what had not begun is answered with what is known by then
-            counts = await discovery.status()
+            assert revisions == [1, 1, 2, 3]
+            counts = keys(await discovery.status())
             assert counts["queue_most"] == 3
             assert counts["left"] == 1
             assert counts["queued"] == 0
@@ -298,13 +326,13 @@
             await discovery.set_steady_changes(per_s=1000.0, seed=1)
             known_revision = (await client.knows(7)).revision
             await discovery.set_steady_changes(per_s=0)
-            revision = (await discovery.status())["revision"]
+            revision = (await discovery.status()).revision
             if known_revision < revision:
                 await client.knows(revision)
             assert client.known == await listed(port)
             changes = (await discovery.published_changes())["changes"]
-            assert [c[0] for c in changes] == list(range(2, revision + 1))
-            assert {c[2] for c in changes} == {1}
+            assert [change.revision for change in changes] == list(range(2, revision + 1))
+            assert {change.entries for change in changes} == {1}
             draining = [m for m in client.known.values() if m.endpoint.status is EndpointStatus.DRAINING]
             assert len(draining) == (revision - 1) % 2
 
@@ -312,6 +340,8 @@
 
 
 def test_its_process_ends_with_its_input() -> None:
+    """A command that comes too early or has a wrong argument is answered with an error, and others go on."""
+
     async def run() -> None:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
