--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -4,13 +4,12 @@
 
 import asyncio
 import contextlib
-import functools
 import json
 import socket
-from collections.abc import AsyncIterator, Awaitable, Callable
+from collections.abc import AsyncIterator
 from dataclasses import dataclass, field, replace
 from pathlib import Path
-from typing import Any, ParamSpec
+from typing import Any
 
 from nickelmount.agent.agent import Agent
 from nickelmount.agent.assembly import assemble
@@ -28,22 +27,6 @@
 LOAD_REPORT = b"inflight=0,queue=0,util=0.1"
 TEST_TIMEOUT_S = 60  # a hang fails the test; nothing is timed by this
 
-P = ParamSpec("P")
-
-
-def async_test(test: Callable[P, Awaitable[None]]) -> Callable[P, None]:
-    """Run a test that is a coroutine function on an event loop of its own."""
-
-    @functools.wraps(test)
-    def run_test(*args: P.args, **kwargs: P.kwargs) -> None:
-        async def run() -> None:
-            async with asyncio.timeout(TEST_TIMEOUT_S):
-                await test(*args, **kwargs)
-
-        asyncio.run(run())
-
-    return run_test
-
 
 def settings(**allowed: Any) -> dict[str, Any]:
     """Settings as a deployment states them; probes are off unless asked for."""
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -13,12 +13,13 @@
 from nickelmount.balancer.balancer import Balancer
 from nickelmount.balancer.events import Event, RequestArrived
 from nickelmount.protocol.endpoint_list import ListedEndpoint
-from tests.loopback import KEYED, UNSAFE, World, async_test, post, world
+from tests.async_test import async_test
+from tests.loopback import KEYED, UNSAFE, World, post, world
 
 # Requests and their answers
 
 
-@async_test
+@async_test()
 async def test_a_request_is_forwarded_unchanged_and_connections_are_reused(tmp_path: Path) -> None:
     async with world(tmp_path) as setup:
         client = await setup.ask(post(body=b"\x00wheel\xff"))
@@ -37,7 +38,7 @@
         assert setup.backends[0].connections == 1
 
 
-@async_test
+@async_test()
 async def test_endpoints_are_probed_first_and_the_connection_serves_the_attempt(tmp_path: Path) -> None:
     async with world(tmp_path, probes=True) as setup:
         client = await setup.ask(post())
@@ -61,7 +62,7 @@
 
 
 @pytest.mark.parametrize(("cls", "status"), [(KEYED, 200), (UNSAFE, 502)])
-@async_test
+@async_test()
 async def test_what_may_have_run_is_retried_only_where_repeats_are_dropped(
     tmp_path: Path, cls: str, status: int
 ) -> None:
@@ -71,7 +72,7 @@
         assert setup.nothing_sent()
 
 
-@async_test
+@async_test()
 async def test_a_request_that_surely_never_ran_is_retried_in_every_class(tmp_path: Path) -> None:
     """An endpoint rejects a request of a class that must not run twice, and says that it has not begun."""
     async with world(tmp_path, backends=3) as setup:
@@ -81,7 +82,7 @@
         assert (await client.read()).status == 200
 
 
-@async_test
+@async_test()
 async def test_a_client_that_disconnects_ends_its_attempt(tmp_path: Path) -> None:
     async with world(tmp_path) as setup:
         client = await setup.ask(post())
@@ -93,7 +94,7 @@
         assert (await client.read()).status == 200
 
 
-@async_test
+@async_test()
 async def test_at_its_timeout_a_request_is_answered_and_its_attempt_closed(tmp_path: Path) -> None:
     async with world(tmp_path) as setup:
         client = await setup.ask(post(UNSAFE, timeout_ms="1000"))
@@ -102,7 +103,7 @@
         await message.peer.ended()
 
 
-@async_test
+@async_test()
 async def test_a_rejection_says_when_to_retry(tmp_path: Path) -> None:
     """The endpoint rejects everything. After the attempts that its budget allows the balancer gives up."""
     async with world(tmp_path) as setup:
@@ -125,7 +126,7 @@
 # Faults of the program itself
 
 
-@async_test
+@async_test()
 async def test_a_fault_of_the_balancer_costs_one_request_at_most(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -148,7 +149,7 @@
         assert (await client.read()).status == 200
 
 
-@async_test
+@async_test()
 async def test_a_request_that_the_balancer_forgets_is_answered_all_the_same(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -204,7 +205,7 @@
     assert max_depth == 1
 
 
-@async_test
+@async_test()
 async def test_an_attempt_for_a_request_already_answered_ends_in_the_balancer_too(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -235,7 +236,7 @@
         assert (await client.read()).status == 200
 
 
-@async_test
+@async_test()
 async def test_an_attempt_that_cannot_be_started_ends_in_the_balancer_too(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -16,6 +16,7 @@
 import pytest
 
 from nickelmount.agent.downstream import ClientConnection
+from tests.async_test import async_test
 from tests.event_order import BlockingClient, DelayedConnect, wait_for_accepted
 from tests.loopback import (
     KEYED,
@@ -24,7 +25,6 @@
     Message,
     Peer,
     World,
-    async_test,
     complete_list,
     post,
     world,
@@ -100,7 +100,7 @@
 
 @WAYS_TO_DISCONNECT
 @pytest.mark.parametrize("is_draining", [False, True])
-@async_test
+@async_test()
 async def test_disconnect_before_the_first_endpoint_is_listed(
     tmp_path: Path, disconnect: Disconnect, is_draining: bool
 ) -> None:
@@ -115,7 +115,7 @@
 
 
 @WAYS_TO_DISCONNECT
-@async_test
+@async_test()
 async def test_disconnect_of_many_clients_at_once(tmp_path: Path, disconnect: Disconnect) -> None:
     """The same with many: the requests are released one by one, while the closes of all are unread."""
     async with agent_without_endpoints(tmp_path) as (setup, peer):
@@ -130,7 +130,7 @@
 
 
 @STAYS_OR_DISCONNECTS
-@async_test
+@async_test()
 async def test_disconnect_before_a_held_request_is_released_by_its_timer(
     tmp_path: Path, disconnect: Disconnect | None
 ) -> None:
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 40])
-@async_test
+@async_test()
 async def test_disconnect_before_the_request_is_read(tmp_path: Path, count: int) -> None:
     """The event loop finds the request and the close at once."""
     async with world(tmp_path) as setup:
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 40])
-@async_test
+@async_test()
 async def test_disconnect_before_the_connection_is_accepted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, count: int
 ) -> None:
@@ -206,7 +206,7 @@
 
 @WAYS_TO_DISCONNECT
 @pytest.mark.parametrize(("cls", "end_attempt"), [(UNSAFE, reject), (KEYED, lose_connection)])
-@async_test
+@async_test()
 async def test_disconnect_before_a_retry(
     tmp_path: Path, disconnect: Disconnect, cls: str, end_attempt: Callable[[Message], None]
 ) -> None:
@@ -226,7 +226,7 @@
 
 
 @STAYS_OR_DISCONNECTS
-@async_test
+@async_test()
 async def test_disconnect_before_a_hedged_request(tmp_path: Path, disconnect: Disconnect | None) -> None:
     """An attempt is in flight, and the client disconnects just before the hedged request is due.
 
@@ -253,7 +253,7 @@
 
 @WAYS_TO_DISCONNECT
 @pytest.mark.parametrize("is_read", [False, True])
-@async_test
+@async_test()
 async def test_disconnect_during_a_connect(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, is_read: bool
 ) -> None:
@@ -279,7 +279,7 @@
 
 
 @WAYS_TO_DISCONNECT
-@async_test
+@async_test()
 async def test_disconnect_during_a_probe(tmp_path: Path, disconnect: Disconnect) -> None:
     """A request waits for the load of an endpoint. The answer to the probe is read before the close."""
     async with world(tmp_path, backends=0, probes=True) as setup:
@@ -296,7 +296,7 @@
         await assert_request_left_no_trace(setup)
 
 
-@async_test
+@async_test()
 async def test_disconnect_closes_the_attempt_in_flight(tmp_path: Path) -> None:
     """A client resets its connection while an endpoint works on its request: that attempt is closed."""
     async with world(tmp_path) as setup:
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -10,13 +10,13 @@
 
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.connection_pool import PooledConnection
+from tests.async_test import async_test
 from tests.event_order import DelayedConnect, wait_until_readable
 from tests.loopback import (
     LOAD_REPORT,
     UNSAFE,
     Message,
     World,
-    async_test,
     endpoint_list,
     member,
     post,
@@ -60,7 +60,7 @@
 # A response that crosses something else
 
 
-@async_test
+@async_test()
 async def test_a_response_in_the_kernel_precedes_a_timeout_that_is_due(tmp_path: Path) -> None:
     """The event loop is blocked while a response arrives and the request's timeout passes.
 
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("change", ["drains", "is removed", "is not listed", "moves"])
-@async_test
+@async_test()
 async def test_a_response_that_crosses_the_drain_of_its_endpoint_is_served(
     tmp_path: Path, change: str
 ) -> None:
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("received", [b"H", b"HTTP/1.1 200 OK\r\nContent-", RESPONSE[:-1]])
 @pytest.mark.parametrize("end", ["reset", "close"])
-@async_test
+@async_test()
 async def test_a_connection_lost_within_a_response_fails_what_must_not_run_twice(
     tmp_path: Path, received: bytes, end: str
 ) -> None:
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("late_bytes", [RESPONSE, b"HTTP/1.1 200 OK\r\n", b"\r\n", LOAD_REPORT])
-@async_test
+@async_test()
 async def test_late_bytes_on_an_idle_connection_reach_no_request(tmp_path: Path, late_bytes: bytes) -> None:
     """Bytes that nobody asked for arrive on an idle connection just when the next request would use it.
 
@@ -159,7 +159,7 @@
 # The next attempt of a request
 
 
-@async_test
+@async_test()
 async def test_a_request_has_no_more_attempts_than_the_settings_allow(tmp_path: Path) -> None:
     """Every endpoint rejects. After the last attempt the request surely never ran, so it is rejected."""
     for max_attempts in (1, 2, 3):
@@ -178,7 +178,7 @@
             assert attempts == max_attempts
 
 
-@async_test
+@async_test()
 async def test_an_attempt_is_closed_before_the_next_one_where_hedging_is_not_allowed(tmp_path: Path) -> None:
     """A response cannot be used, and its connection is still open when the request is retried.
 
@@ -196,7 +196,7 @@
         assert (await client.read()).status == 200
 
 
-@async_test
+@async_test()
 async def test_a_retry_whose_connection_is_established_after_the_dedup_window_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -219,7 +219,7 @@
         assert setup.balancer_in_flight_count == 0
 
 
-@async_test
+@async_test()
 async def test_a_first_attempt_whose_connection_is_established_after_the_window_of_its_hedge_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -251,7 +251,7 @@
 # An endpoint list that crosses a connect
 
 
-@async_test
+@async_test()
 async def test_an_endpoint_that_moves_during_a_connect_gets_nothing_at_its_old_address(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -270,7 +270,7 @@
 
 
 @pytest.mark.parametrize("changed_field", ["locality", "cell"])
-@async_test
+@async_test()
 async def test_nothing_is_sent_to_an_endpoint_that_changes_its_dedup_scope_during_a_connect(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, changed_field: str
 ) -> None:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -17,7 +17,8 @@
 from nickelmount.agent.upstream_exchange import Exchange, ExchangeResult, UpstreamRequest
 from nickelmount.balancer.events import Outcome
 from nickelmount.protocol.load_report import parse_load_report
-from tests.loopback import Message, Peer, async_test, endpoint_list, member, running_peer
+from tests.async_test import async_test
+from tests.loopback import Message, Peer, endpoint_list, member, running_peer
 
 LOAD_REPORT_FIELDS = ("inflight", "queue", "util")
 LONG_US = 60_000_000  # no limit that a test reaches
@@ -135,7 +136,7 @@
         (write_raw(b"HTTP/1.1 102 Wait\r\n\r\n" + OK + b"Content-Length: 0\r\n\r\n"), Outcome.OK),
     ],
 )
-@async_test
+@async_test()
 async def test_outcome_after_the_last_byte_is_written(
     endpoint_does: Callable[[Message], Awaitable[None]], outcome: Outcome
 ) -> None:
@@ -145,7 +146,7 @@
         assert (await result).outcome is outcome
 
 
-@async_test
+@async_test()
 async def test_a_response_of_400_kb_is_served_complete() -> None:
     """Responses above 64 KiB were once treated as unusable, and their requests were rejected."""
     async with running_peer() as peer:
@@ -168,7 +169,7 @@
         b"Transfer-Encoding: chunked\r\n\r\n35a4e900\r\n",
     ],
 )
-@async_test
+@async_test()
 async def test_an_endless_response_is_given_up_within_a_bound(response_start: bytes) -> None:
     """An endpoint begins a response and never ends it: a header, a trailer, a chunk or a body goes on.
 
@@ -192,7 +193,7 @@
         assert peer.connections == 2
 
 
-@async_test
+@async_test()
 async def test_a_timeout_closes_the_connection_before_it_is_reported() -> None:
     """A request times out at one endpoint, and its next attempt goes to another.
 
@@ -219,7 +220,7 @@
 # Outcomes before that
 
 
-@async_test
+@async_test()
 async def test_a_refused_connection_is_a_failed_connect() -> None:
     with socket.socket() as bound:  # bound and not listening: every connection is refused
         bound.bind(("127.0.0.1", 0))
@@ -227,7 +228,7 @@
 
 
 @pytest.mark.parametrize(("connect_timeout_us", "timeout_us"), [(30_000, 60_000_000), (60_000_000, 30_000)])
-@async_test
+@async_test()
 async def test_a_connection_that_is_never_established_is_a_failed_connect(
     connect_timeout_us: int, timeout_us: int
 ) -> None:
@@ -245,7 +246,7 @@
         assert (await result).outcome is Outcome.CONNECT_FAILED
 
 
-@async_test
+@async_test()
 async def test_a_connection_lost_before_the_last_byte_is_written_is_a_failed_connect() -> None:
     """An endpoint resets the connection while the request is being written, so it surely has not begun."""
 
@@ -260,7 +261,7 @@
         assert (await start(upstream_of(port), request)).outcome is Outcome.CONNECT_FAILED
 
 
-@async_test
+@async_test()
 async def test_a_request_that_exceeds_its_write_limit_is_never_written_completely() -> None:
     """An endpoint accepts and reads nothing, until the time is over in which it would drop a repeat.
 
@@ -283,7 +284,7 @@
             assert received_bytes < 50_000_000
 
 
-@async_test
+@async_test()
 async def test_a_write_limit_does_not_end_what_is_written() -> None:
     async with running_peer() as peer:
         exchange, result = start_exchange(upstream_of(peer.port))
@@ -294,7 +295,7 @@
         assert (await result).outcome is Outcome.OK
 
 
-@async_test
+@async_test()
 async def test_nothing_is_sent_to_an_endpoint_that_drains_while_the_connection_is_established() -> None:
     async with running_peer() as peer:
         upstream = upstream_of(peer.port)
@@ -304,7 +305,7 @@
         assert peer.requests.empty()
 
 
-@async_test
+@async_test()
 async def test_running_out_of_descriptors_is_no_fault_of_the_endpoint(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -320,7 +321,7 @@
 
 
 @pytest.mark.parametrize("has_idle_connection", [False, True])
-@async_test
+@async_test()
 async def test_a_fault_while_a_request_is_written_ends_its_exchange(
     monkeypatch: pytest.MonkeyPatch, has_idle_connection: bool
 ) -> None:
@@ -341,7 +342,7 @@
 # Which connections are reused
 
 
-@async_test
+@async_test()
 async def test_a_connection_that_the_endpoint_has_closed_is_not_reused() -> None:
     """The endpoint closes an idle connection, and the next request comes before the agent has read that.
 
@@ -358,7 +359,7 @@
 
 @pytest.mark.parametrize("excess", [OK + b"Content-Length: 5\r\n\r\nother", b"noise"])
 @pytest.mark.parametrize("is_separate", [False, True])
-@async_test
+@async_test()
 async def test_bytes_that_follow_a_response_are_no_response_to_the_next_request(
     excess: bytes, is_separate: bool
 ) -> None:
@@ -382,7 +383,7 @@
         assert peer.connections == 2
 
 
-@async_test
+@async_test()
 async def test_a_connection_is_not_reused_before_it_has_settled() -> None:
     """A duplicate of a response is still on its way when the next request arrives.
 
@@ -400,7 +401,7 @@
         assert peer.connections == 2
 
 
-@async_test
+@async_test()
 async def test_a_duplicate_response_some_milliseconds_late_reaches_no_other_request() -> None:
     """A duplicate arrives 6 ms after its response, and the next request before it.
 
@@ -426,7 +427,7 @@
         assert peer.connections == 2
 
 
-@async_test
+@async_test()
 async def test_an_idle_connection_is_closed_before_the_endpoint_does_it() -> None:
     async with running_peer() as peer:
         upstream = upstream_of(peer.port, idle_timeout_us=50_000)
@@ -437,7 +438,7 @@
 @pytest.mark.parametrize(
     ("phase", "up_since_ms"), [("DRAINING", 0), ("DELETED", 0), ("SERVING", 1_700_000_000_000)]
 )
-@async_test
+@async_test()
 async def test_an_endpoint_that_drains_or_is_removed_or_restarts_loses_its_idle_connections(
     phase: str, up_since_ms: int
 ) -> None:
@@ -451,7 +452,7 @@
 # The limit on connections
 
 
-@async_test
+@async_test()
 async def test_connections_that_are_being_opened_count_against_the_limit() -> None:
     """Many requests arrive at once: were only established connections counted, all would open one."""
     async with running_peer() as peer:
@@ -463,7 +464,7 @@
         assert peer.connections == 1
 
 
-@async_test
+@async_test()
 async def test_the_connection_idle_for_longest_is_closed_for_a_new_one() -> None:
     async with running_peer() as peer, running_peer() as other:
         upstream = upstream_of(peer.port, max_connections=1)
@@ -497,7 +498,7 @@
     assert parse_load_report(text, LOAD_REPORT_FIELDS) == report
 
 
-@async_test
+@async_test()
 async def test_load_reports_come_with_any_response() -> None:
     async with running_peer() as peer:
         result = start(upstream_of(peer.port))
