--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -3,19 +3,18 @@
 from __future__ import annotations
 
 import asyncio
-import json
 import os
 import signal
 import socket
 import sys
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
 from dataclasses import replace
 from pathlib import Path
 
 import pytest
 
 from nickelmount.agent.downstream import ClientConnection, ClientTimeouts
+from tests.agent_process import AgentProcess, agent_process, started_peers
+from tests.async_test import async_test
 from tests.loopback import UNSAFE, Conversation, Message, Peer, World, config_doc, member, post, world
 from tests.recording_handler import RecordingHandler
 from tests.test_client_input import CHUNKED, HEALTH_CHECK
@@ -52,40 +51,36 @@
         (post(drop=("Content-Length",), body=b"", Content_length="60000000"), 413),
     ],
 )
-def test_incomplete_request_ends_with_an_error_or_a_close(
+@async_test()
+async def test_incomplete_request_ends_with_an_error_or_a_close(
     tmp_path: Path, begun: bytes, status: int | None
 ) -> None:
     # A client connects and sends nothing, or a part of a request and no more. Its connection would be
     # occupied for ever. After a while it is closed; a request that had begun is answered first.
-    async def run() -> None:
-        async with world(tmp_path, times=EXPIRE_AT_ONCE) as w:
-            handler = RecordingHandler(w.server)
-            client = await w.ask(begun)
-            if status is not None:
-                assert (await client.read()).status == status
-            await client.ended()
-            assert not handler.accepted
+    async with world(tmp_path, times=EXPIRE_AT_ONCE) as w:
+        handler = RecordingHandler(w.server)
+        client = await w.ask(begun)
+        if status is not None:
+            assert (await client.read()).status == status
+        await client.ended()
+        assert not handler.accepted
 
-    asyncio.run(run())
 
-
-def test_request_in_flight_and_kept_connection_do_not_expire_as_incomplete(tmp_path: Path) -> None:
+@async_test()
+async def test_request_in_flight_and_kept_connection_do_not_expire_as_incomplete(tmp_path: Path) -> None:
     # An endpoint answers late, and its client sends the next request late. Neither is a request that does not
     # arrive: sweeps that close others meanwhile leave this connection open.
-    async def run() -> None:
-        async with world(tmp_path, times=EXPIRE_AT_ONCE) as w:
-            client = await w.ask(post())
-            for _ in range(2):
-                forwarded = await w.request()
-                await sweep_has_passed(w)
-                assert not client.told_of_close()
-                await forwarded.answer()
-                assert (await client.read()).status == 200
-                await sweep_has_passed(w)
-                await client.write(post())
-            await (await w.request()).answer()
-
-    asyncio.run(run())
+    async with world(tmp_path, times=EXPIRE_AT_ONCE) as w:
+        client = await w.ask(post())
+        for _ in range(2):
+            forwarded = await w.request()
+            await sweep_has_passed(w)
+            assert not client.told_of_close()
+            await forwarded.answer()
+            assert (await client.read()).status == 200
+            await sweep_has_passed(w)
+            await client.write(post())
+        await (await w.request()).answer()
 
 
 async def unread_answer(w: World) -> tuple[Conversation, ClientConnection]:
@@ -107,159 +102,108 @@
     return client, connection
 
 
-def test_client_that_sends_requests_and_reads_no_answers_is_disconnected(tmp_path: Path) -> None:
+@async_test()
+async def test_client_that_sends_requests_and_reads_no_answers_is_disconnected(tmp_path: Path) -> None:
     # A client sends request after request and reads no answer. The answers would pile up in the agent's
     # memory: with one still unwritten, the next request ends the connection, and reaches nobody.
-    async def run() -> None:
-        async with world(tmp_path) as w:
-            handler = RecordingHandler(w.server)
-            client, _ = await unread_answer(w)
-            await client.write(post(Request_Id="9b21"))
-            while w.server.connections:
-                await asyncio.sleep(0)
-            assert len(handler.accepted) == 1
-            assert w.nothing_sent()
-
-    asyncio.run(run())
-
-
-def test_connection_whose_answer_is_never_read_expires(tmp_path: Path) -> None:
+    async with world(tmp_path) as w:
+        handler = RecordingHandler(w.server)
+        client, _ = await unread_answer(w)
+        await client.write(post(Request_Id="9b21"))
+        while w.server.connections:
+            await asyncio.sleep(0)
+        assert len(handler.accepted) == 1
+        assert w.nothing_sent()
+
+
+@async_test()
+async def test_connection_whose_answer_is_never_read_expires(tmp_path: Path) -> None:
     # A client neither reads its answer nor closes. A close that waits for the answer to be written would
     # never end, and the connection would be occupied for ever: it is aborted.
-    async def run() -> None:
-        times = replace(EXPIRE_AT_ONCE, sweep_interval_s=0.02, keepalive_s=0.0)
-        async with world(tmp_path, times=times) as w:
-            await unread_answer(w)
-            while w.server.connections:
-                await asyncio.sleep(0.001)
-
-    asyncio.run(run())
+    times = replace(EXPIRE_AT_ONCE, sweep_interval_s=0.02, keepalive_s=0.0)
+    async with world(tmp_path, times=times) as w:
+        await unread_answer(w)
+        while w.server.connections:
+            await asyncio.sleep(0.001)
 
 
 # Eviction
 
 
-def test_longest_idle_connection_is_evicted_at_the_limit(tmp_path: Path) -> None:
+@async_test()
+async def test_longest_idle_connection_is_evicted_at_the_limit(tmp_path: Path) -> None:
     # More clients connect than there are descriptors for. The connection that was used longest ago makes
     # room.
-    async def run() -> None:
-        times = replace(EXPIRE_AT_ONCE, sweep_interval_s=60.0)
-        async with world(tmp_path, most=SOCKETS_FOR_TWO_CLIENTS, times=times) as w:
-            first, second = await w.client(), await w.client()
-            assert await is_healthy(second)
-            assert await is_healthy(first)
-            assert await is_healthy(await w.client())
-            await second.ended()
-            assert not first.told_of_close()
-
-    asyncio.run(run())
-
-
-def test_new_connection_is_closed_where_none_can_be_evicted(tmp_path: Path) -> None:
+    times = replace(EXPIRE_AT_ONCE, sweep_interval_s=60.0)
+    async with world(tmp_path, most=SOCKETS_FOR_TWO_CLIENTS, times=times) as w:
+        first, second = await w.client(), await w.client()
+        assert await is_healthy(second)
+        assert await is_healthy(first)
+        assert await is_healthy(await w.client())
+        await second.ended()
+        assert not first.told_of_close()
+
+
+@async_test()
+async def test_new_connection_is_closed_where_none_can_be_evicted(tmp_path: Path) -> None:
     # More clients connect than there are descriptors for, and all connections are in use. A request in
     # flight must not be lost for a newcomer, and who was just answered is likely to send again: the new one
     # is closed.
-    async def run() -> None:
-        async with world(tmp_path, most=SOCKETS_FOR_ONE_CLIENT) as w:
-            client = await w.ask(post())
-            forwarded = await w.request()
-            await (await w.client()).ended()
-            await forwarded.answer()
-            assert (await client.read()).status == 200
-            # One that was used just now stays, too.
-            await (await w.client()).ended()
-            assert await is_healthy(client)
-
-    asyncio.run(run())
-
-
-def test_connection_without_any_request_is_evicted_at_once(tmp_path: Path) -> None:
+    async with world(tmp_path, most=SOCKETS_FOR_ONE_CLIENT) as w:
+        client = await w.ask(post())
+        forwarded = await w.request()
+        await (await w.client()).ended()
+        await forwarded.answer()
+        assert (await client.read()).status == 200
+        # One that was used just now stays, too.
+        await (await w.client()).ended()
+        assert await is_healthy(client)
+
+
+@async_test()
+async def test_connection_without_any_request_is_evicted_at_once(tmp_path: Path) -> None:
     # A client connects and sends nothing, while another needs the connection.
-    async def run() -> None:
-        async with world(tmp_path, most=SOCKETS_FOR_ONE_CLIENT) as w:
-            silent = await w.client()
-            assert await is_healthy(await w.client())
-            await silent.ended()
-
-    asyncio.run(run())
+    async with world(tmp_path, most=SOCKETS_FOR_ONE_CLIENT) as w:
+        silent = await w.client()
+        assert await is_healthy(await w.client())
+        await silent.ended()
 
 
 # The agent as a process
 
 
-async def start_process(config: Path) -> asyncio.subprocess.Process:
-    return await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "nickelmount",
-        env={**os.environ, "RELAY_CONFIG": str(config)},
-        stderr=asyncio.subprocess.PIPE,
-    )
-
-
-class AgentProcess:
-    """The agent as a process of its own, its discovery and its one endpoint."""
-
-    def __init__(
-        self, process: asyncio.subprocess.Process, port: int, discovery: Peer, endpoint: Peer
-    ) -> None:
-        self.process, self.port, self.discovery, self.endpoint = process, port, discovery, endpoint
-
-    async def client(self) -> Conversation:
-        return Conversation(*await asyncio.open_connection("127.0.0.1", self.port))
-
-    async def send_until_forwarded(self, request: bytes) -> tuple[Conversation, Message]:
-        """As clients do, send it again on a new connection where one was closed before it was read."""
-        while True:
-            client = await self.client()
-            await client.write(request)
-            closed = asyncio.create_task(client.reader.read(1))
-            forwarded = asyncio.create_task(self.endpoint.requests.get())
-            await asyncio.wait([closed, forwarded], return_when=asyncio.FIRST_COMPLETED)
-            closed.cancel()
-            if forwarded.done():
-                await asyncio.wait([closed])
-                return client, forwarded.result()
-            forwarded.cancel()
-
-
-@asynccontextmanager
-async def agent_process(folder: Path, deadline_us: int | None = None) -> AsyncIterator[AgentProcess]:
-    """An agent that listens; ends what is left of it with the block. The deadline is that of all classes."""
-    discovery, endpoint = await Peer().start(), await Peer().start()
-    doc = config_doc(discovery.port, [member("s", endpoint.port)])
-    if deadline_us is not None:
-        for profile in doc["settings"]["profiles"]:
-            profile["aimUs"] = profile["deadlineUs"] = deadline_us
-    path = folder / "config.json"
-    path.write_text(json.dumps(doc))
-    process = await start_process(path)
-    try:
-        assert process.stderr is not None
-        while b"listens on" not in (line := await process.stderr.readline()):
-            assert line, "ended before it listened"
-        yield AgentProcess(process, int(line.rpartition(b":")[2]), discovery, endpoint)
-    finally:
-        if process.returncode is None:
-            process.kill()
-            await process.wait()
-        await discovery.stop()
-        await endpoint.stop()
-
-
-def test_graceful_shutdown_serves_new_connections_and_loses_no_request(tmp_path: Path) -> None:
+async def send_until_forwarded(
+    agent: AgentProcess, endpoint: Peer, request: bytes
+) -> tuple[Conversation, Message]:
+    """As clients do, send it again on a new connection where one was closed before it was read."""
+    while True:
+        client = await agent.client()
+        await client.write(request)
+        closed = asyncio.create_task(client.reader.read(1))
+        forwarded = asyncio.create_task(endpoint.requests.get())
+        await asyncio.wait([closed, forwarded], return_when=asyncio.FIRST_COMPLETED)
+        closed.cancel()
+        if forwarded.done():
+            await asyncio.wait([closed])
+            return client, forwarded.result()
+        forwarded.cancel()
+
+
+@async_test()
+async def test_graceful_shutdown_serves_new_connections_and_loses_no_request(tmp_path: Path) -> None:
     # The agent is stopped at a planned restart, while requests are in flight and clients still connect. All
     # are answered, with Connection: close, and an idle connection is closed while new ones are still
     # served.
-    async def run() -> None:
-        async with agent_process(tmp_path) as agent:
+    async with started_peers(2) as (discovery, endpoint):
+        document = config_doc(discovery.port, [member("s", endpoint.port)])
+        async with agent_process(tmp_path, document) as agent:
             idle, early = await agent.client(), await agent.client()
             assert await is_healthy(idle)
             await early.write(post())
-            first = await agent.endpoint.requests.get()
+            first = await endpoint.requests.get()
             agent.process.send_signal(signal.SIGTERM)
             await idle.ended()
-            late, second = await agent.send_until_forwarded(post(UNSAFE, Request_Id="9b20"))
+            late, second = await send_until_forwarded(agent, endpoint, post(UNSAFE, Request_Id="9b20"))
             for client, forwarded in ((early, first), (late, second)):
                 await forwarded.answer()
                 answer = await client.read()
@@ -267,36 +211,41 @@
                 assert answer.headers["connection"] == "close"
             assert await agent.process.wait() == 0
 
-    asyncio.run(asyncio.wait_for(run(), 60))
-
 
-def test_request_that_no_endpoint_answers_fails_before_the_process_ends(tmp_path: Path) -> None:
+@async_test()
+async def test_request_that_no_endpoint_answers_fails_before_the_process_ends(tmp_path: Path) -> None:
     # An endpoint hangs while the agent is stopped, and the client's timeout is far longer than the deadline
     # of its class. Before it would be killed, the agent answers that the request has failed, and ends.
-    async def run() -> None:
-        async with agent_process(tmp_path, deadline_us=500_000) as agent:
+    async with started_peers(2) as (discovery, endpoint):
+        document = config_doc(discovery.port, [member("s", endpoint.port)])
+        for profile in document["settings"]["profiles"]:
+            profile["aimUs"] = profile["deadlineUs"] = 500_000
+        async with agent_process(tmp_path, document) as agent:
             client = await agent.client()
             await client.write(post())
-            await agent.endpoint.requests.get()
+            await endpoint.requests.get()
             agent.process.send_signal(signal.SIGTERM)
             assert (await client.read()).status == 500
             assert await agent.process.wait() == 0
 
-    asyncio.run(asyncio.wait_for(run(), 60))
-
 
 @pytest.mark.parametrize("text", [None, "", "{", "[]", "7", '{"settings":{}}'])
-def test_invalid_configuration_gives_one_line_and_exit_status_2(tmp_path: Path, text: str | None) -> None:
+@async_test()
+async def test_invalid_configuration_gives_one_line_and_exit_status_2(
+    tmp_path: Path, text: str | None
+) -> None:
     # The configuration file is missing, empty, cut short, or not of the form. An operator gets one line.
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-
-    async def run() -> None:
-        process = await start_process(path)
-        _, err = await process.communicate()
-        assert process.returncode == 2
-        assert err.startswith(b"nickelmount: "), err
-        assert err.count(b"\n") == 1, err
-
-    asyncio.run(asyncio.wait_for(run(), 60))
+    process = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "nickelmount",
+        env={**os.environ, "RELAY_CONFIG": str(path)},
+        stderr=asyncio.subprocess.PIPE,
+    )
+    _, err = await process.communicate()
+    assert process.returncode == 2
+    assert err.startswith(b"nickelmount: "), err
+    assert err.count(b"\n") == 1, err
