--- a/nickelmount/agent/downstream.py
+++ b/nickelmount/agent/downstream.py
@@ -18,6 +18,9 @@
 
 A request that arrives complete at once skips READING. One that needs no handler (the health check, a request
 that is not valid) is answered at once and skips IN_FLIGHT.
+
+A client that closes its sending side counts as disconnected, since a half-close cannot be told from a close.
+The handler drops the request in flight (RequestHandler.client_left), and asyncio closes the connection.
 """
 
 from __future__ import annotations
@@ -153,7 +156,7 @@
     def expire(self) -> None:
         """End a connection that has exceeded its time limit."""
         if self.is_lingering or self.discards_input:
-            self.abort()
+            self.abort()  # nothing is owed any more: the client has not closed after its last answer
         elif self._reader.incomplete is not None:
             self._send_error(HttpError(408, "request not complete in time"))
         elif not self.all_written:
@@ -206,7 +209,7 @@
         elif messages:
             self._dispatch(messages[0])
         elif incomplete is not None:
-            if was_idle and self.has_answered:
+            if was_idle and self.has_answered:  # the limit of the first request counts from the opening
                 self.timer_started_at = self._now()
             self._send_continue_if_expected(incomplete)
 
