--- a/nickelmount/fleet/agent_config.py
+++ b/nickelmount/fleet/agent_config.py
@@ -6,7 +6,8 @@
 
 from .experiment import Experiment
 
-REQUEST_CLASS, METHOD = "read", "GET"
+REQUEST_CLASS, METHOD = "read", "GET"  # of all requests
+MAX_ENDPOINT_CONNECTIONS = 512  # of an agent that this tool builds from its parts; it opens none
 
 
 def config(
--- a/nickelmount/fleet/discovery_messages.py
+++ b/nickelmount/fleet/discovery_messages.py
@@ -66,7 +66,7 @@
     """
 
     calls: int = 0
-    full_lists: int = msgspec.field(name="whole", default=0)
+    complete_lists: int = msgspec.field(name="whole", default=0)
     deltas: int = 0
     empty: int = 0
     failed: int = 0  # answered with 4xx, or cut off by an outage
--- a/nickelmount/fleet/emulated_discovery.py
+++ b/nickelmount/fleet/emulated_discovery.py
@@ -303,7 +303,7 @@
 
     def _count_response(self, base: int | None) -> None:
         if base is None:
-            self.counts.full_lists += 1
+            self.counts.complete_lists += 1
         elif base == self._list.revision:
             self.counts.empty += 1
         else:
--- a/nickelmount/fleet/emulated_endpoints.py
+++ b/nickelmount/fleet/emulated_endpoints.py
@@ -12,8 +12,8 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
 
-from . import role
 from .endpoint_messages import EndpointsStarted, EndpointsStatus
+from .role import run, serve, usage
 
 RESPONSE_BODY = b"done"
 PROBE_TARGETS = (b"/_load", b"/ping")
@@ -189,7 +189,7 @@
 
     async def status(self) -> EndpointsStatus:
         """Return the counts since the start, and the usage."""
-        used = role.usage()
+        used = usage()
         return EndpointsStatus(
             requests=self._counts.requests,
             probes=self._counts.probes,
@@ -209,10 +209,10 @@
     """Run the role until its input ends."""
     endpoints = EmulatedEndpoints()
     try:
-        await role.serve({"start": endpoints.start, "counts": endpoints.status})
+        await serve({"start": endpoints.start, "counts": endpoints.status})
     finally:
         endpoints.close()
 
 
 if __name__ == "__main__":
-    role.run(main)
+    run(main)
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -31,11 +31,11 @@
 from nickelmount.agent.upstream import Upstream
 from nickelmount.balancer.balancer import Balancer
 
+from .agent_config import MAX_ENDPOINT_CONNECTIONS
 from .agent_messages import ListTimes, WorkerRestarted, WorkerStarted, WorkerStatus
 from .role import run, serve, usage
 
 STARTS_PER_ITERATION = 32  # of the event loop; then the agents started before get to run
-MAX_ENDPOINT_CONNECTIONS = 512  # of an agent; a hollow one opens none
 
 
 class ReceivedList(NamedTuple):
@@ -72,11 +72,11 @@
         self._is_closed = False
         self.failed_calls = 0
 
-    def watch(self, told: Callable[[EndpointList | None], None]) -> None:
-        """Watch as the base class does, and record what `told` has been called with."""
+    def watch(self, on_list: Callable[[EndpointList | None], None]) -> None:
+        """Watch as the base class does, and record what `on_list` has been called with."""
 
         def record(endpoint_list: EndpointList | None) -> None:
-            told(endpoint_list)
+            on_list(endpoint_list)
             if endpoint_list is None:
                 self.failed_calls += 1
             else:
--- a/nickelmount/fleet/load_generator.py
+++ b/nickelmount/fleet/load_generator.py
@@ -19,18 +19,16 @@
 
 import msgspec
 
-from . import role
 from .arrivals import arrival_times_ns
 from .load_connections import LoadConnectionPool
 from .load_messages import LoadSettings
 from .precise_loop import PreciseEventLoopPolicy
-from .request_statistics import RequestPath
+from .request_statistics import WARM_UP_PHASE, RequestPath
 from .request_tracker import RequestTracker
-from .role import Nothing
+from .role import Nothing, run, serve, typed_command, usage
 
 CONNECTION_BUSY_S = 0.03  # with one request: its answer and the delay until reuse, as an upper estimate
 POLL_AHEAD_NS = 400_000  # before a request is due the loop only polls: to wake up takes 0.2 to 0.3 ms
-FIRST_PHASE = "warm"
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +120,7 @@
             settings.body_bytes,
             settings.seed,
         )
-        tracker.begin_phase(FIRST_PHASE)
+        tracker.begin_phase(WARM_UP_PHASE)
         for stream, times_ns in zip(streams, arrivals_ns, strict=True):
             pools = await self._open_pools(tracker, stream)
             self._streams.append(RequestStream(tracker, stream.path, pools, times_ns))
@@ -158,7 +156,7 @@
                 name: {path: statistics.result() for path, statistics in paths.items()}
                 for name, paths in tracker.phases.items()
             },
-            **msgspec.structs.asdict(role.usage()),
+            **msgspec.structs.asdict(usage()),
         }
 
     def close(self) -> None:
@@ -205,9 +203,9 @@
     """Run the role until its input ends."""
     generator = LoadGenerator()
     try:
-        await role.serve(
+        await serve(
             {
-                "start": role.typed_command(LoadSettings, generator.start),
+                "start": typed_command(LoadSettings, generator.start),
                 "phase": generator.phase,
                 "stop": generator.stop,
                 "results": generator.results,
@@ -220,4 +218,4 @@
 if __name__ == "__main__":
     logging.basicConfig(format="%(levelname)s %(name)s: %(message)s")
     asyncio.set_event_loop_policy(PreciseEventLoopPolicy())
-    role.run(main)
+    run(main)
--- a/nickelmount/fleet/request_figures.py
+++ b/nickelmount/fleet/request_figures.py
@@ -7,9 +7,8 @@
 from hdrh.histogram import HdrHistogram
 
 from .figures import PERCENTILES, Figures
-from .request_statistics import HISTOGRAM_KEYS, OUTCOME_KEYS, PATHS, new_histogram
+from .request_statistics import HISTOGRAM_KEYS, OUTCOME_KEYS, PATHS, WARM_UP_PHASE, new_histogram
 
-WARM_UP_PHASE = "warm"  # counts in no figure
 ALL_PHASES = "all"  # the name under which the figures of all phases together stand
 
 
--- a/nickelmount/fleet/request_statistics.py
+++ b/nickelmount/fleet/request_statistics.py
@@ -10,6 +10,8 @@
 MAX_LATENCY_US = 60_000_000  # longer ones count as this
 SIGNIFICANT_DIGITS = 3  # of the histograms
 
+WARM_UP_PHASE = "warm"  # the phase until another is named; its requests count in no figure
+
 RequestPath = Literal["through", "direct"]  # through an agent, or directly to an endpoint
 PATHS: tuple[RequestPath, ...] = ("through", "direct")
 
--- a/nickelmount/fleet/role_process.py
+++ b/nickelmount/fleet/role_process.py
@@ -44,10 +44,13 @@
         line = await self._exchange(msgspec.json.encode({"do": command, **arguments}) + b"\n")
         if not line:
             raise RoleError(f"{self.name} has ended during {command}")
-        answer = msgspec.json.decode(line, type=dict[str, Any])
-        if "error" in answer:
-            raise RoleError(f"{self.name}: {command}: {answer['error']}")
-        return msgspec.convert(answer["ok"], answer_type)
+        try:
+            answer = msgspec.json.decode(line, type=dict[str, Any])
+            if "error" in answer:
+                raise RoleError(f"{self.name}: {command}: {answer['error']}")
+            return msgspec.convert(answer.get("ok"), answer_type)
+        except msgspec.DecodeError as error:
+            raise RoleError(f"{self.name}: {command}: unexpected answer: {error}") from error
 
     async def _exchange(self, line: bytes) -> bytes:
         """Return the line that answers a line; empty where the process has ended."""
--- a/nickelmount/fleet/runner.py
+++ b/nickelmount/fleet/runner.py
@@ -15,7 +15,8 @@
 from .figures import Figures
 from .fleet_processes import FleetProcesses
 from .propagation import PropagationMeasurement, PropagationTarget
-from .request_figures import WARM_UP_PHASE, request_figures
+from .request_figures import request_figures
+from .request_statistics import WARM_UP_PHASE
 from .role import Nothing
 from .usage_figures import usage_figures
 
@@ -40,6 +41,7 @@
         self._experiment, self._report_progress = experiment, report_progress
         self._random = Random(seed)
         self._fleet = FleetProcesses(experiment, seed, report_progress)
+        # The list of workers is shared: the fleet fills it as it starts them.
         self._propagation = PropagationMeasurement(self._fleet.workers)
         self._figures: Figures = {}
         self._started_s = 0.0  # of the measured time
--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -33,7 +33,7 @@
     RequestArrived,
 )
 
-from .agent_config import config
+from .agent_config import MAX_ENDPOINT_CONNECTIONS, config
 from .experiment import Experiment
 from .figures import Figures, quantile
 from .role import run, serve, usage
@@ -63,7 +63,9 @@
 ) -> tuple[Upstream, Balancer]:
     """Build the parts of an agent that apply lists and decide."""
     settings = replace(agent_config.settings, instance_count=instance_count)
-    pool = ConnectionPool(clock, agent_config.connect_timeout_us, agent_config.idle_timeout_us, 512)
+    pool = ConnectionPool(
+        clock, agent_config.connect_timeout_us, agent_config.idle_timeout_us, MAX_ENDPOINT_CONNECTIONS
+    )
     return Upstream(clock, settings.load_report_fields, pool), Balancer(settings, seed)
 
 
--- a/nickelmount/fleet/usage_figures.py
+++ b/nickelmount/fleet/usage_figures.py
@@ -45,7 +45,7 @@
         "discovery.cpu.percent": 100 * (after.cpu_s - before.cpu_s) / duration_s,
         "discovery.memory.mb": after.rss_mb,
         "discovery.calls.count": calls,
-        "discovery.whole.count": after.full_lists - before.full_lists,
+        "discovery.whole.count": after.complete_lists - before.complete_lists,
         "discovery.deltas.count": after.deltas - before.deltas,
         "discovery.empty.count": after.empty - before.empty,
         "discovery.failed.count": after.failed - before.failed,
