--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -33,14 +33,13 @@
 )
 from nickelmount.protocol.endpoint_list import EndpointList
 
-from .agent_config import config
+from .agent_config import MAX_ENDPOINT_CONNECTIONS, config
 from .experiment import Experiment
 from .figures import Figures, quantile
 from .role import run, serve, usage
 from .steady_changes import unix_time_ms
 from .versioned_list import ServerLayout, VersionedList, generate
 
-MAX_ENDPOINT_CONNECTIONS = 512  # of an agent; none is opened here
 CHANGES = 200  # single ones, each timed
 REPEATED_LISTS = 5
 REQUESTS_S = 20  # on the balancer's clock
