--- a/nickelmount/agent/agent.py
+++ b/nickelmount/agent/agent.py
@@ -3,8 +3,9 @@
 Who owns what, and where each ends exactly once:
 
 - A request is pending from `accept` until `_close_request`, the only place that removes it from `_pending`.
-  That happens with its final answer (`_answer`) or when its client disconnects (`client_left`). Attempts that
-  are still in flight are cancelled there, before the answer is sent. Nothing is sent for it afterwards.
+  That happens with its final answer (`_answer`) or when its client disconnects (`client_disconnected`).
+  Attempts that are still in flight are cancelled there, before the answer is sent. Nothing is sent for it
+  afterwards.
 - An attempt belongs to its Exchange from `_send_attempt` until the exchange has ended, and is in `_in_flight`
   as long. The balancer counts attempts by AttemptEnded, so each SendAttempt leads to exactly one:
   `_on_attempt_end` posts it when the exchange ends, and `_end_unsent` where no exchange was started.
@@ -154,7 +155,7 @@
             )
         )
 
-    def client_left(self, request: ClientRequest) -> None:
+    def client_disconnected(self, request: ClientRequest) -> None:
         """Close a request whose client has disconnected; harmless if it is closed already."""
         if self._close_request(request.number) is not None:
             self._dispatch(ClientDisconnected(request.number))
@@ -248,9 +249,9 @@
             # The request was closed while events were queued, after the balancer had decided on this attempt.
             return self._end_unsent(action)
         request = pending.client_request
-        if request.client_has_left():
+        if request.has_client_disconnected():
             # The close is in the kernel and not read yet: the event loop was busy with other connections.
-            self.client_left(request)
+            self.client_disconnected(request)
             return self._end_unsent(action)
         pending.attempt_count = action.attempt + 1
         exchange = self._upstream.start_attempt(
@@ -261,7 +262,7 @@
                 request.headers,
                 request.body,
                 sends_timeout=True,
-                client_has_disconnected=request.client_has_left,
+                client_has_disconnected=request.has_client_disconnected,
             ),
             action.timeout_us,
             lambda result: self._on_exchange_end(action, request, result),
@@ -282,8 +283,8 @@
 
     def _on_exchange_end(self, action: SendAttempt, request: ClientRequest, result: ExchangeResult) -> None:
         self._in_flight.pop((action.request_id, action.attempt), None)
-        if result.outcome is Outcome.NOT_SENT and request.client_has_left():
-            self.client_left(request)
+        if result.outcome is Outcome.NOT_SENT and request.has_client_disconnected():
+            self.client_disconnected(request)
         self._on_attempt_end(action, result)
 
     def _end_unsent(self, action: SendAttempt) -> None:
--- a/nickelmount/agent/downstream.py
+++ b/nickelmount/agent/downstream.py
@@ -20,7 +20,8 @@
 that is not valid) is answered at once and skips IN_FLIGHT.
 
 A client that closes its sending side counts as disconnected, since a half-close cannot be told from a close.
-The handler drops the request in flight (RequestHandler.client_left), and asyncio closes the connection.
+The handler drops the request in flight (RequestHandler.client_disconnected), and asyncio closes the
+connection.
 """
 
 from __future__ import annotations
@@ -73,7 +74,7 @@
     def accept(self, request: ClientRequest) -> None:
         """Become responsible for a request: `request.respond` is to be called once."""
 
-    def client_left(self, request: ClientRequest) -> None:
+    def client_disconnected(self, request: ClientRequest) -> None:
         """Drop a request whose client has disconnected; no answer is due."""
 
     def finish_all(self) -> None:
@@ -245,7 +246,7 @@
         if self.peer_has_closed():
             self.abort()  # the client disconnected while its request waited in the kernel to be read
             return
-        request.client_has_left = self.peer_has_closed
+        request.has_client_disconnected = self.peer_has_closed
         self._request = request
         self._host.open_request_ids.add(request.id)
         self._host.handler.accept(request)
@@ -260,7 +261,7 @@
     def _disconnect_request(self) -> None:
         request = self._release_request()
         if request is not None:
-            self._host.handler.client_left(request)
+            self._host.handler.client_disconnected(request)
 
     # Answers
 
--- a/nickelmount/agent/request_validation.py
+++ b/nickelmount/agent/request_validation.py
@@ -74,7 +74,7 @@
     respond: Respond
     number: int = 0  # set by the handler that accepts the request
     # Whether the client has disconnected, even if the event loop has not read its close yet.
-    client_has_left: Callable[[], bool] = lambda: False
+    has_client_disconnected: Callable[[], bool] = lambda: False
 
 
 class RequestValidator:
--- a/tests/recording_handler.py
+++ b/tests/recording_handler.py
@@ -19,8 +19,8 @@
         self.accepted.append(request)
         self._handler.accept(request)
 
-    def client_left(self, request: ClientRequest) -> None:
-        self._handler.client_left(request)
+    def client_disconnected(self, request: ClientRequest) -> None:
+        self._handler.client_disconnected(request)
 
     def finish_all(self) -> None:
         self._handler.finish_all()
