--- a/nickelmount/agent/agent.py
+++ b/nickelmount/agent/agent.py
@@ -8,7 +8,8 @@
   afterwards.
 - An attempt belongs to its Exchange from `_send_attempt` until the exchange has ended, and is in `_in_flight`
   as long. The balancer counts attempts by AttemptEnded, so each SendAttempt leads to exactly one:
-  `_on_attempt_end` posts it when the exchange ends, and `_end_unsent` where no exchange was started.
+  `_on_attempt_end` posts it, called by `_on_exchange_end` or, where no exchange was started, by
+  `_end_unsent`.
 - A connection to an endpoint belongs to an exchange or to the connection pool; see connection_pool.
 - A connection to a client belongs to the listener. A pending request reaches it only through
   `ClientRequest.respond`.
@@ -61,7 +62,7 @@
 
 log = logging.getLogger(__name__)
 
-# The balancer gives the final answer when a request's timeout is over. If a fault keeps it from that, the
+# The balancer gives the final answer before a request's timeout is over. If a fault keeps it from that, the
 # agent answers so much later itself: the protocol allows 50 ms.
 FALLBACK_ANSWER_DELAY_S = 0.025
 
@@ -161,7 +162,7 @@
             self._dispatch(ClientDisconnected(request.number))
 
     def finish_all(self) -> None:
-        """Answer every pending request at once. One that was never sent is rejected; any other has failed."""
+        """Answer every pending request at once: rejected if no attempt was started, else failed."""
         for request_id, pending in list(self._pending.items()):
             if pending.attempt_count:
                 self._answer_failed(request_id)
--- a/nickelmount/agent/discovery_client.py
+++ b/nickelmount/agent/discovery_client.py
@@ -168,7 +168,7 @@
 
     def _apply_watched(self, endpoint_list: EndpointList) -> None:
         try:
-            self._apply(endpoint_list)
+            self._hold_revision(endpoint_list)
         except StaleRevisionError:
             # Either a fetch has brought a newer list since this call began, or discovery has started to count
             # from the beginning. The complete list is right in both cases.
@@ -182,7 +182,7 @@
         with self._new_session() as session:
             try:
                 endpoint_list = await self._fetch_complete_list(session)
-            # All of them: the balancer counts on exactly one report of each fetch.
+            # All of them: the balancer counts on one report of each fetch, unless the address changes.
             except Exception as error:
                 _log_failure(error)
         on_list(endpoint_list)
@@ -192,7 +192,7 @@
             await session.connect()
             body = await session.get(complete_list_target())
         endpoint_list = await self._parser.parse_body(body)
-        self._apply(endpoint_list)
+        self._hold_revision(endpoint_list)
         return endpoint_list
 
     # What both need
@@ -200,7 +200,7 @@
     def _new_session(self) -> DiscoverySession:
         return DiscoverySession(self._address, min(self._connect_timeout_s, CALL_TIMEOUT_S))
 
-    def _apply(self, endpoint_list: EndpointList) -> None:
+    def _hold_revision(self, endpoint_list: EndpointList) -> None:
         """Hold the revision of a list; raises StaleRevisionError if it is older than the one that is held."""
         if self._revision is not None and endpoint_list.revision < self._revision:
             raise StaleRevisionError(endpoint_list.revision, self._revision)
--- a/nickelmount/agent/downstream.py
+++ b/nickelmount/agent/downstream.py
@@ -7,8 +7,8 @@
 - IN_FLIGHT: a complete request is with the handler, which answers it. Bytes that arrive meanwhile, but for
   line ends, are a pipelined request: they are dropped, and an error follows the answer.
 - LINGERING: the last answer was sent, with Connection: close, and the sending side is closed. What still
-  arrives is read and dropped until the client closes. Were the connection closed upon unread bytes, the
-  kernel would reset it, and the client could lose the answer.
+  arrives is read and dropped until the client closes. If it were closed with unread bytes, the kernel would
+  reset it, and the client could lose the answer.
 
     IDLE -> READING -> IN_FLIGHT -> IDLE       the answer allows a further request
                        IN_FLIGHT -> LINGERING  the client asked for a close, it sent a pipelined request,
@@ -111,7 +111,7 @@
         self._reader = HttpReader(HttpRequestParser, MAX_BODY_BYTES)
         self._message: HttpMessage | None = None  # the complete request that is still to be answered
         self._request: ClientRequest | None = None  # the same, while it is with the handler
-        self._has_pipelined_input = False  # more than line ends arrived while it was
+        self._has_pipelined_input = False  # more than line ends arrived while a request was in flight
         self._continue_sent_for: HttpMessage | None = None
         self.timer_started_at = now()
         self.has_answered = False
--- a/nickelmount/agent/lifecycle.py
+++ b/nickelmount/agent/lifecycle.py
@@ -40,8 +40,8 @@
     """Run an agent until it is told to stop; returns the exit code of the process."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     clock = Clock()
-    # Until `serve` has its handler, a SIGHUP would end the process. One that is ignored before the next line
-    # is no loss, because the configuration file is read only then.
+    # A SIGHUP would end the process until `serve` has its handler, so it is ignored until then. Before the
+    # next line that is no loss, because the file is read only then; one that comes after it is lost.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load(os.environ, clock)
--- a/nickelmount/agent/listener.py
+++ b/nickelmount/agent/listener.py
@@ -29,8 +29,7 @@
 # could take all descriptors in one iteration, before the first of them is refused.
 MAX_ACCEPTS_PER_ITERATION = 16
 
-# A client sends its first request right after connecting. If that request meets a close, its client may count
-# it as not answered; a later one on the same connection would be sent again.
+# A client resends a request that is lost to a close, unless it was the first on its connection.
 FIRST_REQUEST_GRACE_S = 0.25
 # A client that has read its last answer closes by itself; after this long the agent closes first.
 CLIENT_CLOSE_GRACE_S = 0.1
@@ -76,7 +75,7 @@
         self._listening_socket: socket.socket | None = None
 
     async def listen(self, address: Address) -> int:
-        """Start to accept connections; return the port, which the system picks where the address says 0.
+        """Start accepting connections; return the port, which the system picks where the address says 0.
 
         Raises OSError where the address cannot be bound.
         """
@@ -94,7 +93,7 @@
         return int(listening_socket.getsockname()[1])
 
     def close(self) -> None:
-        """Stop to accept connections, and the sweep. Connections that are admitted stay."""
+        """Stop accepting connections and stop the sweep. Connections that are admitted stay."""
         if self._next_sweep is not None:
             self._next_sweep.cancel()
         if self._server is not None:
--- a/nickelmount/agent/upstream_exchange.py
+++ b/nickelmount/agent/upstream_exchange.py
@@ -60,7 +60,7 @@
     ExchangeState.WRITING: Outcome.CANCELLED,
     ExchangeState.AWAITING_RESPONSE: Outcome.CANCELLED,
 }
-# The process responds and the connection is intact, so this is no lost connection. The request has run.
+# The process responds and the connection is intact, so this is no lost connection. The request may have run.
 ON_UNUSABLE_RESPONSE = Outcome.ERROR
 
 
@@ -121,7 +121,7 @@
     """One attempt or probe: sends a request to an endpoint, and calls `on_end` exactly once.
 
     All ends lead through `_end`, which ignores any but the first. When `on_end` is called, the timers are
-    cancelled, and the connection is back in the pool or closed in the eyes of the endpoint.
+    cancelled, and the connection is back in the pool or closed, as seen by the endpoint.
     """
 
     def __init__(
--- a/nickelmount/balancer/admission.py
+++ b/nickelmount/balancer/admission.py
@@ -10,11 +10,11 @@
 from .request import Request
 from .settings import Settings
 from .subset import Subset
-from .traffic import TRAFFIC_WINDOW_US, ArrivalRate
+from .traffic import TRAFFIC_WINDOW_US, RecentArrivals
 from .units import SECOND_US
 
 # An endpoint is one core: crowded, it turns slow, however soon its answers were predicted.
-MAX_IN_FLIGHT_PER_ENDPOINT = 4.0  # an endpoint that holds so much gets no more from those who have none there
+MAX_IN_FLIGHT_PER_ENDPOINT = 4.0  # an endpoint that holds this many gets no more, except by exploration
 EXPLORATION_PER_ENDPOINT = (
     3.0  # attempts of all balancers at an endpoint that are let in whatever is predicted
 )
@@ -22,7 +22,7 @@
     1.6  # the concurrency limit for a class that goes first, as a multiple of the others'
 )
 PREDICTED_TIME_SHARE = (
-    0.45  # predicted time to an answer, as a share of that to the objective: the rest is spread
+    0.45  # predicted time to an answer, as a share of that to the objective: the rest is margin
 )
 LOW_PRIORITY_TIME_SHARE = 0.2  # the same for a client's retry and for requests beyond their tenant's quota
 MAX_CLASS_PAUSE_US = SECOND_US  # a class of which nothing was sent for so long goes first, too
@@ -42,7 +42,7 @@
         settings: Settings,
         table: LoadTable,
         subset: Subset,
-        arrivals: ArrivalRate,
+        arrivals: RecentArrivals,
         fresh_load_us: int,
         has_limit: bool,
     ) -> None:
@@ -92,9 +92,9 @@
         It is the largest of
 
         - an even share of the capacity of all endpoints;
-        - by traffic: as many requests as arrive while an answer may take its time, less by what has gone of
-          the capacity, since the traffic stays, and less as endpoints hold more than they bear in the mean,
-          since in a burst all balancers send more at once;
+        - by traffic: the requests that arrive within the allowed answer time, reduced by lost capacity, since
+          the traffic stays, and by a mean load above what endpoints bear, since in a burst all balancers send
+          more at once;
         - what one endpoint bears beyond the mean load: a burst may use that.
 
         The class of the highest weight goes first, and one of which none was sent for long: else the first
@@ -123,7 +123,10 @@
         return now_us - self._sent_at_us.get(request_class.name, 0) > MAX_CLASS_PAUSE_US
 
     def can_wait(self, request: Request, waiting_count: int, ready_count: int, now_us: int) -> bool:
-        """Whether a place that comes free soon still serves a request; once shed, it returns too late."""
+        """Whether a place that comes free soon still serves a request.
+
+        A shed request would come back too late.
+        """
         max_waiting = max(1.0, MAX_WAITING_PER_ENDPOINT * ready_count / self._instance_count)
         typical_us = self._table.typical_latency_us
         return (
@@ -144,7 +147,7 @@
         bearable_us = self._bearable_latency_us[request.request_class.name]
         return min(request.objective_at_us - now_us, bearable_us) * share
 
-    def can_meet_objective(
+    def is_worth_sampling(
         self, request: Request, endpoint: TrackedEndpoint, limit_us: float, left_us: float, now_us: int
     ) -> bool:
         """Whether an endpoint may be sampled, by its predicted time and by what it holds.
@@ -158,12 +161,12 @@
         is_feasible = cost <= 1.0 or cost * time_per_load_us * min(1.0, table.mean_load) <= left_us
         if now_us - endpoint.load_reported_at_us <= self._fresh_load_us:
             # Known, not guessed: no exploration here, but one that holds nothing may be sampled.
-            load = endpoint.own_in_flight(now_us) + table.other_in_flight(endpoint, now_us)
+            load = endpoint.own_in_flight(now_us) + table.estimated_other_in_flight(endpoint, now_us)
             if load < 1.0:
                 return is_feasible
             return (load + cost) * time_per_load_us <= limit_us + self._late_allowance_us(request)
         own_in_flight = endpoint.own_in_flight(now_us)
-        other_in_flight = table.other_in_flight(endpoint, now_us)
+        other_in_flight = table.estimated_other_in_flight(endpoint, now_us)
         if self._can_explore(request, endpoint, own_in_flight):
             return is_feasible
         if own_in_flight + other_in_flight >= MAX_IN_FLIGHT_PER_ENDPOINT:
@@ -171,10 +174,11 @@
         predicted_us = (own_in_flight + other_in_flight + cost) * time_per_load_us
         if predicted_us <= limit_us:
             return True
+        # While own attempts are few, the whole time to the objective counts.
         return own_in_flight < self._exploration_limit and predicted_us <= left_us
 
     def _late_allowance_us(self, request: Request) -> float:
-        """A request is not shed for what comes after the objective but keeps part of its weight."""
+        """Extra time for a class that earns weight after the objective, lest it be shed too early."""
         if request.is_low_priority:
             return 0.0
         late_us = request.deadline_us - request.objective_at_us
@@ -183,12 +187,12 @@
     def _can_explore(self, request: Request, endpoint: TrackedEndpoint, own_in_flight: float) -> bool:
         """Whether an endpoint that holds next to nothing of ours may be tried whatever is predicted.
 
-        A balancer with little traffic knows too little to shed by a guess. The pass is shared over the
-        balancers, or they would keep an overload up: where a balancer's part is under one attempt, so many of
-        its requests have the pass. Failed attempts count as held, or a full endpoint that rejects at once
-        would be tried for ever. What a warming endpoint is sent is bounded by slow start.
+        A balancer with little traffic knows too little to shed by a guess. The pass is rationed over all
+        balancers, or they would keep an overload up: if a balancer's share is less than one attempt, only
+        that fraction of its requests may explore. Failed attempts count as held, or a full endpoint that
+        rejects at once would be tried for ever. What a warming endpoint is sent is bounded by slow start.
         """
         if own_in_flight >= min(1.0, self._exploration_limit):
             return False
-        has_pass = request.draws.exploration <= self._exploration_limit * self._subset.rarity
+        has_pass = request.draws.exploration <= self._exploration_limit * self._subset.ready_per_sampled
         return has_pass or endpoint.warm_share < 1.0
--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -51,20 +51,20 @@
     TimerFired,
 )
 from .feedback import AttemptFeedback
-from .gossip import Gossip
+from .gossip import FRESH_GOSSIP_US, Gossip
 from .hedging import HedgingPolicy
-from .load_table import HALF_WEIGHT_AGE_US, LoadTable
+from .load_table import LoadTable
 from .outlier_detection import OutlierDetector
 from .probing import MAX_PROBED_PAIRS, Probing
 from .quota import TenantQuotas
 from .request import Attempt, RandomDraws, Request, check_arrival
 from .retry import RetryBudget, RetryRules
-from .sampling import MAX_DRAWS, EligibilityRules, Sampler
+from .sampling import MAX_ENDPOINTS_CHECKED, EligibilityRules, Sampler
 from .settings import Settings
 from .slow_start import SlowStart, WarmUpRamp
 from .subset import Subset
 from .timers import TimerQueue
-from .traffic import ArrivalRate
+from .traffic import RecentArrivals
 from .units import MILLISECOND_US
 
 NO_ENDPOINT_RECHECK_US = (
@@ -92,7 +92,7 @@
         self.table = LoadTable(settings)
         self.gossip = Gossip(settings, self.table, rng)
         self.probing = Probing(settings, self.table)
-        self.arrivals = ArrivalRate()
+        self.arrivals = RecentArrivals()
         self.quotas = TenantQuotas(settings)
         self.retry, self.retry_budget = RetryRules(settings), RetryBudget()
         self.hedging = HedgingPolicy(settings)
@@ -157,7 +157,7 @@
         """How young a load must be to be known, not guessed; -1: none is."""
         if self.probing.is_enabled:
             return self.probing.max_age_us
-        return HALF_WEIGHT_AGE_US if self.gossip.is_enabled else -1
+        return FRESH_GOSSIP_US if self.gossip.is_enabled else -1
 
     # The endpoint list
 
@@ -178,7 +178,7 @@
     def _choose_subset(self) -> None:
         if self.subset.choose(self.arrivals, self.now_us):
             self.sampler.invalidate()
-        self.slow_start.instances_per_endpoint = self.settings.instance_count / self.subset.rarity
+        self.slow_start.instances_per_endpoint = self.settings.instance_count / self.subset.ready_per_sampled
 
     def _refresh(self) -> None:
         """Bring subset and load table up to date before endpoints are chosen."""
@@ -191,7 +191,7 @@
     def _on_request_arrived(self, event: RequestArrived) -> None:
         now_us = self.now_us
         check_arrival(event, self.settings, self.requests)
-        relative_cost = self.table.relative_cost(event.cost_us)
+        relative_cost = self.table.learn_cost(event.cost_us)
         draws = RandomDraws(slow_start=self._rng.random(), exploration=self._rng.random())
         request_class = self.settings.classes[event.request_class]
         request = Request(event, request_class, now_us, draws, relative_cost, MAX_PROBED_PAIRS)
@@ -210,8 +210,9 @@
         1. No time or no attempt is left: the final answer.
         2. As many attempts are in flight as may be: it waits for a place, where one that comes soon still
            serves it, or gets its final answer.
-        3. Two samples are drawn. None is eligible: it waits while no endpoint takes part at all, and as in 2
-           while all are busy; else it gets its final answer.
+        3. Two samples are drawn. None is eligible: before its first attempt it waits while no endpoint
+           accepts it at all, judged by the first MAX_ENDPOINTS_CHECKED, and as in 2 while all are busy; else
+           it gets its final answer.
         4. The samples are probed where that is cheap, and compared: the lighter one gets the attempt.
         """
         now_us = self.now_us
@@ -220,13 +221,15 @@
         if time_left_us <= 0 or not self.retry.has_attempts_left(request):
             return self._finish(request)
         self._refresh()
-        allowed = self.sampler.allowed_endpoints(request, now_us)
+        allowed = self.sampler.endpoints_retry_allows(request, now_us)
         if self.admission.is_at_limit(request, self.in_flight_count, now_us):
             return self._wait_or_finish(request)
         pair = self.sampler.draw_pair(request, allowed, now_us) if allowed else None
         if pair is not None:
             return self._probe(request, pair)
-        if any(self.sampler.accepts(request, endpoint, now_us) for endpoint in allowed[:MAX_DRAWS]):
+        if any(
+            self.sampler.accepts(request, endpoint, now_us) for endpoint in allowed[:MAX_ENDPOINTS_CHECKED]
+        ):
             return self._wait_or_finish(request)
         last_check_us = request.objective_at_us - self.admission.answer_margin_us
         if request.attempts_sent == 0 and now_us < last_check_us:
@@ -296,7 +299,7 @@
             for endpoint in pair
             if self.retry.allows(request, endpoint, now_us)
             and endpoint not in unanswered
-            and admission.can_meet_objective(request, endpoint, limit_us, left_us, now_us)
+            and admission.is_worth_sampling(request, endpoint, limit_us, left_us, now_us)
         ]
         if eligible and admission.time_left_us(request, now_us) > 0:
             self._send(request, self.sampler.lighter((eligible[0], eligible[-1]), now_us))
@@ -328,10 +331,10 @@
     def _hedge(self, argument: tuple[Request, int]) -> None:
         """Send a second attempt beside one that is unusually slow, if another endpoint can take it."""
         request, number = argument
-        if not self.hedging.is_due(request, number) or self.retry_budget.is_exhausted:
+        if not self.hedging.is_only_attempt(request, number) or self.retry_budget.is_exhausted:
             return
         self._refresh()
-        allowed = self.sampler.allowed_endpoints(request, self.now_us)
+        allowed = self.sampler.endpoints_retry_allows(request, self.now_us)
         if not allowed or not self.retry.has_attempts_left(request):
             return
         pair = self.sampler.draw_pair(request, allowed, self.now_us)
@@ -366,7 +369,7 @@
     def _retry(self, request: Request, outcome: Outcome) -> None:
         """Go on with a request whose attempt has ended without an answer.
 
-        A failed connect is not paid for from the budget: it loads no endpoint, and takes its own timeout.
+        CONNECT_FAILED is not paid for from the budget: no endpoint has begun to work on the request.
         """
         if outcome is not Outcome.CONNECT_FAILED:
             if self.retry_budget.is_exhausted:
--- a/nickelmount/balancer/endpoint_watch.py
+++ b/nickelmount/balancer/endpoint_watch.py
@@ -1,4 +1,7 @@
-"""The watch of the endpoint list: when it is opened, at the start and again after a call has failed."""
+"""The watch of the endpoint list: when it is opened, at the start and again after a call has failed.
+
+A long poll that falls silent, and a changed address of discovery, are handled in agent/discovery_client.py.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
     """Whether the watch is open, and the delays with which it is opened, in microseconds.
 
     A shared discovery gets the calls of all instances: they are spread at the start, and wait longer after a
-    failure the more instances there are, or calls that were already given up would keep it busy. But a change
+    failure the more instances there are, else it would work on calls whose agents have given up. But a change
     counts as notified some time after discovery can be reached again, so a call that began just before and
     fails, the longest delay and the next call must fit into that time.
 
@@ -51,7 +54,7 @@
         self._backoff_us = self._first_us
 
     def open(self) -> bool:
-        """Note that the watch is open from now on; whether it was not."""
+        """Mark the watch open; return whether it was closed."""
         was_open, self._is_open = self._is_open, True
         return not was_open
 
--- a/nickelmount/balancer/events.py
+++ b/nickelmount/balancer/events.py
@@ -37,7 +37,7 @@
     ERROR = "error"  # the endpoint said so; may have run
     REJECTED = "rejected"  # turned away by the endpoint; never ran
     TIMEOUT = "timeout"  # no answer in time; may have run or still run
-    CONNECT_FAILED = "connect_failed"  # never ran
+    CONNECT_FAILED = "connect_failed"  # not connected, or lost before the last byte was written; never ran
     RESET = "reset"  # the connection broke; may have run
     CANCELLED = "cancelled"  # may have run or still run
     NOT_SENT = "not_sent"  # never left this process; never ran
--- a/nickelmount/balancer/gossip.py
+++ b/nickelmount/balancer/gossip.py
@@ -15,11 +15,13 @@
 from .events import GossipReceived
 from .load_table import LoadTable
 from .settings import Settings
+from .units import SECOND_US
 
 MESSAGE = Struct(">IHH")
 MAX_UINT16 = 0xFFFF
 PRICED_BYTES = 256  # the price of gossip is for so many
 MAX_SPENDING = 0.005  # share of the weight of all requests that gossip may cost
+FRESH_GOSSIP_US = 5 * SECOND_US  # a load that was heard of so recently is known, not guessed
 MAX_FANOUT = 32  # balancers that are told of each report
 
 
--- a/nickelmount/balancer/hedging.py
+++ b/nickelmount/balancer/hedging.py
@@ -28,6 +28,6 @@
         at_us = now_us + int(HEDGE_AFTER_LATENCIES * typical_us)
         return at_us if at_us + typical_us < request.objective_at_us else None
 
-    def is_due(self, request: Request, attempt: int) -> bool:
-        """Whether an attempt is still the only one in flight."""
+    def is_only_attempt(self, request: Request, attempt: int) -> bool:
+        """Whether an attempt is the only one in flight of a request without an answer."""
         return not request.is_done and attempt in request.in_flight and len(request.in_flight) == 1
--- a/nickelmount/balancer/load_table.py
+++ b/nickelmount/balancer/load_table.py
@@ -25,11 +25,11 @@
     5 * SECOND_US
 )  # and half as much when this old: an endpoint that was avoided is tried again
 FAILURE_PENALTY_LATENCIES = 10  # half of the penalty of a failed attempt is left after so many latencies
-BROKEN_PENALTY_LATENCIES = 1  # the same where a broken connection or the client's leaving ended it
+BROKEN_PENALTY_LATENCIES = 1  # the same after a reset or a cancel (a client left, or another attempt won)
 
 
 class LoadTable:
-    """What is known of the load and speed of all endpoints, and what it comes to in the mean."""
+    """What is known of the load and speed of all endpoints, and its means."""
 
     def __init__(self, settings: Settings) -> None:
         fields = settings.load_report_fields
@@ -53,7 +53,7 @@
         return self.load_column >= 0
 
     def refresh_means(self, endpoints: list[TrackedEndpoint], now_us: int) -> None:
-        """Compute what the entries come to in the mean."""
+        """Compute the means over these endpoints."""
         # Weighted by age: an endpoint that is avoided for its load is not heard of again, and its last report
         # would keep the mean up.
         weights = [
@@ -77,7 +77,7 @@
         if self.has_capacity_hints and endpoints:
             self.mean_capacity_hint = sum(e.capacity_hint for e in endpoints) / len(endpoints)
 
-    def other_in_flight(self, endpoint: TrackedEndpoint, now_us: int) -> float:
+    def estimated_other_in_flight(self, endpoint: TrackedEndpoint, now_us: int) -> float:
         """What all other balancers hold at an endpoint: as reported, an old report fading to the mean.
 
         An endpoint that was not heard from enters at that mean; a warming one at as much of it as it is warm,
@@ -95,17 +95,17 @@
 
     def total_in_flight(self, endpoint: TrackedEndpoint, now_us: int) -> float:
         """What an endpoint holds in all."""
-        return endpoint.own_in_flight(now_us) + self.other_in_flight(endpoint, now_us)
+        return endpoint.own_in_flight(now_us) + self.estimated_other_in_flight(endpoint, now_us)
 
-    def rank(self, endpoint: TrackedEndpoint, now_us: int, rng: Random) -> float:
-        """What the bands are made of: the time until an endpoint has worked off what it holds.
+    def drain_time_us(self, endpoint: TrackedEndpoint, now_us: int, rng: Random) -> float:
+        """Time until an endpoint has worked off what it holds; the table is cut by this.
 
         A random fraction is added, or small counts tie: with half of the endpoints idle the median itself is.
         """
         return (self.total_in_flight(endpoint, now_us) + rng.random()) * endpoint.time_per_load_us
 
-    def relative_cost(self, cost_us: int) -> float:
-        """The work of a request as a multiple of the mean request's; 1 where no hint tells it."""
+    def learn_cost(self, cost_us: int) -> float:
+        """Take in a request's cost hint; return it as a multiple of the mean, 1 where there is no hint."""
         if not cost_us:
             return 1.0
         weight = MEAN_SMOOTHING if self.mean_cost_us else 1.0
@@ -133,7 +133,7 @@
     # What is learned
 
     def set_load(self, endpoint: TrackedEndpoint, load: float, now_us: int) -> None:
-        """Take in what a probe or another balancer tells: it stands for itself and is not smoothed."""
+        """Take in what a probe or another balancer tells: it is a direct measurement and not smoothed."""
         endpoint.other_in_flight = load - len(endpoint.in_flight)
         endpoint.load_reported_at_us = endpoint.heard_from_at_us = now_us
 
@@ -197,14 +197,14 @@
         ):
             # It brings no report, but its own time tells as much: at least so many were before it.
             load = event.latency_us / self.time_per_load_us
-            if load > self.other_in_flight(endpoint, now_us):
+            if load > self.estimated_other_in_flight(endpoint, now_us):
                 endpoint.other_in_flight = load - len(endpoint.in_flight)
                 endpoint.load_reported_at_us = now_us
         # The attempt goes on to count for a while: an endpoint that fails attempts at once must not look
         # idle.
         endpoint.penalty = endpoint.own_in_flight(now_us) - len(endpoint.in_flight) + 1.0
         endpoint.penalty_at_us = now_us
-        # One that a broken connection or the client's leaving ended is worked off there like any other.
+        # One that was reset or cancelled is worked off there like any other.
         is_broken = outcome in (Outcome.RESET, Outcome.CANCELLED)
         latencies = BROKEN_PENALTY_LATENCIES if is_broken else FAILURE_PENALTY_LATENCIES
         fade_us = int(latencies * self.typical_latency_us) or DEFAULT_PENALTY_FADE_US
--- a/nickelmount/balancer/outlier_detection.py
+++ b/nickelmount/balancer/outlier_detection.py
@@ -2,9 +2,9 @@
 
 An endpoint is ejected
 
-- after three failures in a row, or two where the failures are refused connections or its failure rate is
+- after three failures in a row, or two where the last is a failed connect or its failure rate is
   high;
-- while readmitted, after any further failure but a reset;
+- while readmitted, after any further failure; a reset or a failed connect counts through the streak only;
 - for as long as it is unresponsive: attempts are in flight, and nothing has been answered for long.
 
 An ejection lasts half a second, twice as long each time, with jitter. Then the endpoint is readmitted with
@@ -23,7 +23,7 @@
 
 FAILURE_RATE_SMOOTHING = 0.1
 MAX_FAILURE_STREAK = 3
-MAX_FAILURE_STREAK_IF_LIKELY = 2  # the same for refused connections, and above this failure rate:
+MAX_FAILURE_STREAK_IF_LIKELY = 2  # the same after a failed connect, and above this failure rate:
 HIGH_FAILURE_RATE = 0.3
 UNRESPONSIVE_LATENCIES = 5  # so many typical latencies without an answer
 MIN_UNRESPONSIVE_ATTEMPTS = 2  # with at least so many attempts in flight
@@ -79,9 +79,11 @@
         endpoint.failure_rate += FAILURE_RATE_SMOOTHING * (1.0 - endpoint.failure_rate)
         endpoint.failure_streak += 1
         # One broken connection says little of the process behind it; a dead one refuses the next too.
-        is_refused = outcome is Outcome.CONNECT_FAILED
-        fails_readmission = endpoint.trial_limit > 0 and not is_refused and outcome is not Outcome.RESET
-        is_likely = is_refused or endpoint.failure_rate > HIGH_FAILURE_RATE
+        is_connect_failure = outcome is Outcome.CONNECT_FAILED
+        fails_readmission = (
+            endpoint.trial_limit > 0 and not is_connect_failure and outcome is not Outcome.RESET
+        )
+        is_likely = is_connect_failure or endpoint.failure_rate > HIGH_FAILURE_RATE
         if (
             fails_readmission
             or endpoint.failure_streak >= MAX_FAILURE_STREAK
--- a/nickelmount/balancer/quota.py
+++ b/nickelmount/balancer/quota.py
@@ -27,7 +27,7 @@
             self._traffic_share += TRAFFIC_SHARE_SMOOTHING * (share - self._traffic_share)
 
     def is_exceeded(self, tenant: int, now_us: int) -> bool:
-        """Take a token for a request that has arrived; whether there was none."""
+        """Take a token for a request that has arrived; return whether there was none."""
         if not self._quotas_per_us or not self._quotas_per_us[tenant]:
             return False
         rate = self._quotas_per_us[tenant] * self._traffic_share
--- a/nickelmount/balancer/request.py
+++ b/nickelmount/balancer/request.py
@@ -27,7 +27,7 @@
     They are drawn once: a request that is looked at again and again must not draw until a rule lets it pass.
     """
 
-    slow_start: float  # which warming endpoints it may be sent to
+    slow_start: float  # which warming endpoints it may be sent to, and which that gossip is silent about
     exploration: float  # whether it may try an endpoint of which nothing is known
 
     @property
--- a/nickelmount/balancer/retry.py
+++ b/nickelmount/balancer/retry.py
@@ -8,7 +8,7 @@
 3. never, where its class is not idempotent.
 
 A request that surely never ran may go anywhere. Beside these rules a retry budget bounds the work that
-repeats may add: overloaded endpoints reject in no time, and unpaid repeats would multiply the load.
+repeats may add: overloaded endpoints reject in no time, and unlimited repeats would multiply the load.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class RetryBudget:
-    """Repeats that may still be sent: retries after all but failed connects, and hedged requests."""
+    """Repeats that may still be sent: retries (free after CONNECT_FAILED) and hedged requests."""
 
     def __init__(self) -> None:
         self._available = MAX_RETRY_BUDGET
--- a/nickelmount/balancer/sampling.py
+++ b/nickelmount/balancer/sampling.py
@@ -2,6 +2,9 @@
 
 Two uniform samples are drawn with replacement among the endpoints of the subset that are eligible for the
 request; the one in the lower band of the load table wins, and a tie goes at random.
+
+An endpoint of the subset is allowed by the rules of retry.py, accepted by those of slow start and outlier
+detection, and eligible if admission finds it worth sampling as well.
 """
 
 from __future__ import annotations
@@ -21,7 +24,8 @@
 
 Pair = tuple[TrackedEndpoint, TrackedEndpoint]
 
-MAX_DRAWS = 16  # until two samples are eligible; no more endpoints than this are looked at one by one
+MAX_DRAWS = 16  # until two samples are eligible
+MAX_ENDPOINTS_CHECKED = 16  # no more endpoints than this are looked at one by one
 ENDPOINTS_PER_SELECTION = 4  # a refresh over n endpoints serves n / 4 selections: its cost is shared by them
 MAX_QUIET_FACTOR = 2  # gossip: an endpoint not heard of for so many times the usual age is unresponsive
 
@@ -62,10 +66,10 @@
         for endpoint in endpoints:
             endpoint.warm_share = rules.slow_start.ramp.warm_share(endpoint, now_us)
             endpoint.time_per_load_us = table.time_per_load_of(endpoint, now_us, endpoint.warm_share)
-        ranks = [table.rank(endpoint, now_us, self._rng) for endpoint in endpoints]
+        ranks = [table.drain_time_us(endpoint, now_us, self._rng) for endpoint in endpoints]
         table.cutoffs = cutoffs(ranks) if ranks else []
 
-    def allowed_endpoints(self, request: Request, now_us: int) -> list[TrackedEndpoint]:
+    def endpoints_retry_allows(self, request: Request, now_us: int) -> list[TrackedEndpoint]:
         """Those of the subset to which the request may be sent by the rules of retry.py."""
         if self._rules.retry.is_unrestricted(request):
             return self._subset.endpoints
@@ -74,13 +78,13 @@
     def accepts(self, request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
         """Whether an endpoint takes part: it is responsive, warm enough for this request, and no outlier."""
         rules, table = self._rules, self._table
-        if rules.hears_all and self._is_quiet(request, endpoint, now_us):
+        if rules.hears_all and self._is_unheard_of(request, endpoint, now_us):
             return False
         return rules.slow_start.admits(
             endpoint, request.draws.slow_start, rules.is_probed, table, now_us
         ) and rules.outliers.admits(endpoint, now_us, table.typical_latency_us)
 
-    def _is_quiet(self, request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
+    def _is_unheard_of(self, request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
         """Where gossip tells of every answer, an endpoint of which nothing is heard is unresponsive.
 
         Some requests still try it, by their draw; of a warming one less is heard.
@@ -93,7 +97,11 @@
         return quiet_us > MAX_QUIET_FACTOR * usual_us
 
     def draw_pair(self, request: Request, allowed: list[TrackedEndpoint], now_us: int) -> Pair | None:
-        """Two uniform samples with replacement among the eligible endpoints; None: none was found."""
+        """Two uniform samples with replacement among the eligible endpoints that were not attempted yet.
+
+        None: too few draws succeeded. Of few endpoints each is looked at before that, attempted ones
+        included.
+        """
         random, count = self._rng.random, len(allowed)
         admission = self._rules.admission
         limit_us = admission.predicted_time_limit_us(request, now_us)
@@ -107,17 +115,17 @@
             if (
                 endpoint not in request.attempted
                 and self.accepts(request, endpoint, now_us)
-                and admission.can_meet_objective(request, endpoint, limit_us, left_us, now_us)
+                and admission.is_worth_sampling(request, endpoint, limit_us, left_us, now_us)
             ):
                 eligible.append(endpoint)
         self._rules.slow_start.drew(len(eligible) / draws, draws, count, now_us)
         if len(eligible) == 2:
             return eligible[0], eligible[1]
-        if count <= MAX_DRAWS:
+        if count <= MAX_ENDPOINTS_CHECKED:
             eligible = [e for e in allowed if self.accepts(request, e, now_us)]
             eligible = [e for e in eligible if e not in request.attempted] or eligible
             eligible = [
-                e for e in eligible if admission.can_meet_objective(request, e, limit_us, left_us, now_us)
+                e for e in eligible if admission.is_worth_sampling(request, e, limit_us, left_us, now_us)
             ]
         if not eligible:
             return None
@@ -127,5 +135,5 @@
         """The sample in the lower band."""
         one, other = pair
         table, rng = self._table, self._rng
-        load, other_load = table.rank(one, now_us, rng), table.rank(other, now_us, rng)
+        load, other_load = table.drain_time_us(one, now_us, rng), table.drain_time_us(other, now_us, rng)
         return one if takes_request(rng, table.cutoffs, load, other_load) else other
--- a/nickelmount/balancer/slow_start.py
+++ b/nickelmount/balancer/slow_start.py
@@ -52,13 +52,13 @@
         self._draws_per_endpoint = 0.0  # within DRAW_RATE_WINDOW_US, decaying
         self._drawn_at_us = 0
         self._draw_rate = 0.0  # draws of any one endpoint in a microsecond, draws in a row included
-        self._even_share = 1.0  # an endpoint's share of the traffic, were all equally warm
+        self._even_share = 1.0  # share of the requests for each unit of warm share
 
     def refresh(self, endpoints: list[TrackedEndpoint], now_us: int) -> None:
         """Lay the shares of the endpoints side by side.
 
-        Were each drawn by itself, no endpoint of a fleet that is all warming would see a third of the
-        requests.
+        Were the draws independent, a third or so of the requests of a fleet that is all warming would be
+        admitted by no endpoint.
         """
         warm_shares = [self.ramp.warm_share(e, now_us) for e in endpoints]
         self._even_share = 1.0 / max(1.0, sum(warm_shares), len(endpoints) / 2)
@@ -72,9 +72,8 @@
         """Whether the request with this draw may be sent to an endpoint.
 
         1. To a warm endpoint, any request.
-        2. What an endpoint surely works off it may be offered, however often it is drawn: the share of rule 3
-           shrinks with all that is rejected, and most endpoints would stay idle while the few warm ones are
-           overloaded. Drawn anew each time.
+        2. However often an endpoint is drawn, it may be offered what it surely works off, by a new draw each
+           time. Rule 3 alone would leave most endpoints idle when many requests are rejected.
         3. Else the requests whose draw falls into its share, beside those of the other endpoints.
 
         `is_probed`: the endpoint is asked for its load before anything is sent.
--- a/nickelmount/balancer/subset.py
+++ b/nickelmount/balancer/subset.py
@@ -14,11 +14,11 @@
 from .endpoint_set import EndpointSet
 from .settings import Settings
 from .slow_start import WarmUpRamp
-from .traffic import TRAFFIC_WINDOW_US, ArrivalRate
+from .traffic import TRAFFIC_WINDOW_US, RecentArrivals
 from .units import SECOND_US
 
 VISIT_INTERVAL_US = 2 * SECOND_US  # each endpoint of the subset is seen about as often as this
-MIN_SUBSET_SIZE = 17  # below this the load table has one cutoff only
+MIN_SUBSET_SIZE = 17  # with less traffic, too
 MAX_SUBSET_AGE_US = SECOND_US  # then it is chosen again
 GROWTH_BEFORE_RECHOICE = 2  # or when its wanted size has grown by this factor
 
@@ -35,31 +35,32 @@
         self._measured_at_us = 0
         self._chosen_at_us = 0
         self._wanted_size = 0  # as of then
-        # How many times fewer balancers than all sample the same endpoint
-        self.rarity = 1.0
+        # Ready endpoints for each endpoint of the subset: of all balancers, so many times fewer sample the
+        # same one.
+        self.ready_per_sampled = 1.0
 
     @property
     def capacity_left(self) -> float:
         """The share that is left of the most capacity there was of late."""
         return self.capacity / max(1.0, self._peak_capacity)
 
-    def is_outdated(self, arrivals: ArrivalRate, now_us: int) -> bool:
+    def is_outdated(self, arrivals: RecentArrivals, now_us: int) -> bool:
         """Whether the subset is to be chosen again."""
         if now_us - self._chosen_at_us > MAX_SUBSET_AGE_US:
             return True
         return self._size_for(arrivals) > GROWTH_BEFORE_RECHOICE * self._wanted_size
 
-    def choose(self, arrivals: ArrivalRate, now_us: int) -> bool:
-        """Choose the subset; whether it has changed."""
+    def choose(self, arrivals: RecentArrivals, now_us: int) -> bool:
+        """Choose the subset; return whether it has changed."""
         before = self.endpoints
         self._wanted_size = self._size_for(arrivals)
         self._measure_capacity(now_us)
         self.endpoints = self._all.ready.copy() if self._uses_all else self._first_in_order(now_us)
-        self.rarity = max(1, len(self._all.ready)) / max(1, len(self.endpoints))
+        self.ready_per_sampled = max(1, len(self._all.ready)) / max(1, len(self.endpoints))
         self._chosen_at_us = now_us
         return self.endpoints != before
 
-    def _size_for(self, arrivals: ArrivalRate) -> int:
+    def _size_for(self, arrivals: RecentArrivals) -> int:
         if self._uses_all:
             return len(self._all.ready)
         return max(MIN_SUBSET_SIZE, int(arrivals.count * VISIT_INTERVAL_US / TRAFFIC_WINDOW_US))
--- a/nickelmount/balancer/traffic.py
+++ b/nickelmount/balancer/traffic.py
@@ -9,8 +9,8 @@
 TRAFFIC_WINDOW_US = SECOND_US  # requests are counted over so long, the latest ones the most
 
 
-class ArrivalRate:
-    """Requests within the last TRAFFIC_WINDOW_US, each fading; as of the last one."""
+class RecentArrivals:
+    """Requests within the last TRAFFIC_WINDOW_US, each fading; `count` is as of the last arrival."""
 
     def __init__(self) -> None:
         self.count = 0.0
