--- a/nickelmount/agent/assembly.py
+++ b/nickelmount/agent/assembly.py
@@ -25,7 +25,7 @@
 from .upstream import Upstream
 
 # File descriptors for discovery, the listening socket, the log and the event loop, and for the connections
-# that are accepted in one turn of the loop before any can be closed.
+# that are accepted in one iteration of the event loop before any can be closed.
 RESERVED_DESCRIPTORS = 32
 # Of the other descriptors, how many may be connections of clients. A request in flight takes one of these and
 # one to an endpoint; clients also hold idle connections, so that their share is the larger one.
--- a/nickelmount/agent/config.py
+++ b/nickelmount/agent/config.py
@@ -113,8 +113,8 @@
     - The endpoint list is always polled, because discovery sends nothing unless it is called. PUSH in the
       settings means that discovery runs on this machine for this agent alone: it answers at once, and calls
       put no load on a service that others share.
-    - A change counts as notified after MAX_NOTIFIED_AFTER_US at the latest, and the time that a call to
-      discovery may take is cut to fit in.
+    - A change counts as notified after MAX_NOTIFIED_AFTER_US at the latest. The balancer plans the delays
+      between calls of the watch with calls that take CALL_TIMEOUT_S, or a third of that time if it is less.
     """
     notified_after_us = min(settings.notified_after_us, MAX_NOTIFIED_AFTER_US)
     return replace(
--- a/nickelmount/agent/connection.py
+++ b/nickelmount/agent/connection.py
@@ -135,7 +135,7 @@
     def abort(self) -> None:
         """Close at once; the peer sees it before this returns.
 
-        transport.abort() closes the socket only in the next cycle of the event loop. By then the next
+        transport.abort() closes the socket only in the next iteration of the event loop. By then the next
         attempt of the same request may have been sent, and two endpoints would hold it at once, which is
         wrong where hedged requests are not allowed. The socket is shut down first, which takes effect
         immediately.
--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -67,9 +67,9 @@
 from .traffic import RecentArrivals
 from .units import MILLISECOND_US
 
-NO_ENDPOINT_RECHECK_US = (
-    20 * MILLISECOND_US
-)  # a request for which no endpoint takes part is looked at this often
+# A request for which no endpoint takes part is looked at again after this, one that waits for a busy endpoint
+# after this multiple of the typical latency.
+NO_ENDPOINT_RECHECK_US = 20 * MILLISECOND_US
 BUSY_RECHECK_LATENCIES = 0.15  # one that waits for a busy endpoint, as a multiple of the typical latency
 RETRY_AFTER_LATENCIES = 2  # a rejected client is advised to come again after so many typical latencies
 
@@ -199,8 +199,7 @@
         self.retry_budget.request_arrived()
         if not event.is_retry:
             self.arrivals.request_arrived(now_us)
-        # A client's retry has lost part of its time to the objective: served before others it would come
-        # late.
+        # A client's retry has used up part of its time: even served first it would probably be late.
         request.is_low_priority = self.quotas.is_exceeded(event.tenant, now_us) or event.is_retry
         self._advance(request)
 
--- a/nickelmount/balancer/endpoint_watch.py
+++ b/nickelmount/balancer/endpoint_watch.py
@@ -13,13 +13,10 @@
 
 FIRST_BACKOFF_US = 200 * MILLISECOND_US
 MAX_BACKOFF_US = 2 * SECOND_US
-BACKOFF_JITTER = (
-    0.5,
-    1.5,
-)  # multiples of the backoff, so that calls that failed together are not repeated together
-DISCOVERY_TIME_PER_CALL_US = (
-    100 * MILLISECOND_US
-)  # a shared discovery is given so long for each instance's call
+# Multiples of the backoff, so that calls that failed together are not repeated together.
+BACKOFF_JITTER = (0.5, 1.5)
+# A shared discovery is given so long for each instance's call.
+DISCOVERY_TIME_PER_CALL_US = 100 * MILLISECOND_US
 SIMULTANEOUS_FIRST_CALLS = 10  # so many instances may call a shared discovery at once
 
 
--- a/nickelmount/balancer/load_table.py
+++ b/nickelmount/balancer/load_table.py
@@ -21,9 +21,8 @@
 MEAN_SMOOTHING = SMOOTHING / 4  # weight of a new sample in means over all endpoints
 SERVICE_SMOOTHING = 0.3  # weight of a new reported service time, which the endpoint has smoothed itself
 HALF_WEIGHT_SAMPLES = 4  # an endpoint's own speed counts half after so many answers
-HALF_WEIGHT_AGE_US = (
-    5 * SECOND_US
-)  # and half as much when this old: an endpoint that was avoided is tried again
+# And half as much when its last attempt ended this long ago: an endpoint that was avoided is tried again.
+HALF_WEIGHT_AGE_US = 5 * SECOND_US
 FAILURE_PENALTY_LATENCIES = 10  # half of the penalty of a failed attempt is left after so many latencies
 BROKEN_PENALTY_LATENCIES = 1  # the same after a reset or a cancel (a client left, or another attempt won)
 
--- a/nickelmount/protocol/endpoint_list.py
+++ b/nickelmount/protocol/endpoint_list.py
@@ -24,7 +24,7 @@
 
 log = logging.getLogger(__name__)
 
-ENTRIES_PER_SLICE = 64  # read in one turn of the event loop: half a millisecond
+ENTRIES_PER_SLICE = 64  # read in one iteration of the event loop: half a millisecond
 MAX_CAPACITY_HINT = 1e9
 STATUS_OF_PHASE = {
     "SERVING": EndpointStatus.READY,
