--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -24,6 +24,7 @@
     sweep_interval_s=0.005, first_byte_s=0.0, request_s=0.0, linger_s=0.0, evictable_after_s=0.0
 )
 # Of so many sockets 32 are for other uses, and just over half of the rest for clients.
+MAX_BUFFERED_BYTES = 1024  # of answers, in a client
 SOCKETS_FOR_ONE_CLIENT, SOCKETS_FOR_TWO_CLIENTS = 34, 37
 
 
@@ -32,6 +33,16 @@
     return (await client.read()).status == 200
 
 
+async def connect_and_send(w: World, data: bytes, client: socket.socket | None = None) -> Conversation:
+    """Send before the agent can accept: no sweep finds the connection without a byte, and closes it."""
+    client = client or socket.socket()
+    client.connect(("127.0.0.1", w.port))
+    client.sendall(data)
+    conversation = Conversation(*await asyncio.open_connection(sock=client, limit=MAX_BUFFERED_BYTES))
+    w.clients.append(conversation)
+    return conversation
+
+
 async def sweep_has_passed(w: World) -> None:
     """Wait until a connection on which nothing is sent has been closed by a sweep."""
     await (await w.client()).ended()
@@ -59,7 +70,7 @@
     # occupied for ever. After a while it is closed; a request that had begun is answered first.
     async with world(tmp_path, times=EXPIRE_AT_ONCE) as w:
         handler = RecordingHandler(w.server)
-        client = await w.ask(begun)
+        client = await connect_and_send(w, begun)
         if status is not None:
             assert (await client.read()).status == status
         await client.ended()
@@ -71,7 +82,7 @@
     # An endpoint answers late, and its client sends the next request late. Neither is a request that does not
     # arrive: sweeps that close others meanwhile leave this connection open.
     async with world(tmp_path, times=EXPIRE_AT_ONCE) as w:
-        client = await w.ask(post())
+        client = await connect_and_send(w, post())
         for _ in range(2):
             forwarded = await w.request()
             await sweep_has_passed(w)
@@ -85,12 +96,9 @@
 
 async def unread_answer(w: World) -> tuple[Conversation, ClientConnection]:
     """A client that reads nothing, and its connection with an answer that the kernel holds only in part."""
-    s = socket.socket()
-    s.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    s.connect(("127.0.0.1", w.port))
-    client = Conversation(*await asyncio.open_connection(sock=s, limit=1024))
-    w.clients.append(client)
-    await client.write(post())
+    client_socket = socket.socket()
+    client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    client = await connect_and_send(w, post(), client_socket)
     forwarded = await w.request()
     (connection,) = w.server.connections
     assert connection.transport is not None
