--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -27,12 +27,12 @@
         asked = [p.endpoint_id for p in of_type(actions, SendProbe)]
         assert not of_type(actions, SendAttempt)
         assert len(asked) in (1, 2)
-        send_and_answer = []
+        sends = []
         for i, b in enumerate(asked):
-            send_and_answer += of_type(driver.event(ProbeEnded(b, Outcome.OK, MS, (9.0 * i,))), SendAttempt)
-        assert len(send_and_answer) == 1
-        light += send_and_answer[0].endpoint_id == asked[0]
-        driver.end_attempt(send_and_answer[0], Outcome.OK, 20 * MS, load_report=(1.0,))
+            sends += of_type(driver.event(ProbeEnded(b, Outcome.OK, MS, (9.0 * i,))), SendAttempt)
+        assert len(sends) == 1
+        light += sends[0].endpoint_id == asked[0]
+        driver.end_attempt(sends[0], Outcome.OK, 20 * MS, load_report=(1.0,))
     assert light >= 50  # of 60; bands are coarse
 
 
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -78,12 +78,12 @@
 def test_full_endpoints_meet_no_retry_storm() -> None:
     # i00db6e: with all endpoints full, repeats cost nothing and each request made twenty attempts.
     driver = BalancerDriver(endpoint_count=8)
-    requests, send_and_answer = 200, 0
+    requests, send_count = 200, 0
     for _ in range(requests):
         _, actions = driver.request()
         pending = of_type(actions, SendAttempt)
         while pending:
-            send_and_answer += 1
+            send_count += 1
             driver.now += MS
             pending = of_type(driver.end_attempt(pending[0], Outcome.REJECTED, MS), SendAttempt)
-    assert send_and_answer <= requests * (1 + RETRY_BUDGET_PER_REQUEST) + MAX_RETRY_BUDGET + 1
+    assert send_count <= requests * (1 + RETRY_BUDGET_PER_REQUEST) + MAX_RETRY_BUDGET + 1
--- a/tests/test_sampling.py
+++ b/tests/test_sampling.py
@@ -19,23 +19,23 @@
     sampler, table = driver.balancer.sampler, driver.balancer.table
     refresh_means, accepts = table.refresh_means, sampler.accepts
 
-    def looked(endpoints: list[TrackedEndpoint], now_us: int) -> None:
+    def record_look(endpoints: list[TrackedEndpoint], now_us: int) -> None:
         looks.extend(endpoints)
         refresh_means(endpoints, now_us)
 
-    def sampled_endpoints(request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
+    def record_draw(request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
         draws.append(endpoint)
         return accepts(request, endpoint, now_us)
 
-    table.refresh_means = looked  # type: ignore[method-assign]
-    sampler.accepts = sampled_endpoints  # type: ignore[method-assign]
-    send_and_answer = [s for _ in range(160) for s in of_type(driver.request()[1], SendAttempt)]
-    assert len(send_and_answer) == 160
+    table.refresh_means = record_look  # type: ignore[method-assign]
+    sampler.accepts = record_draw  # type: ignore[method-assign]
+    sends = [s for _ in range(160) for s in of_type(driver.request()[1], SendAttempt)]
+    assert len(sends) == 160
     assert len(looks) <= 2 * 320
     assert len(draws) <= 3 * 160
-    for send in send_and_answer[:20]:
+    for send in sends[:20]:
         driver.update_list(Endpoint(send.endpoint_id, EndpointStatus.DRAINING))
-    drained = {send.endpoint_id for send in send_and_answer[:20]}
+    drained = {send.endpoint_id for send in sends[:20]}
     assert not drained & {
         s.endpoint_id for _ in range(200) for s in of_type(driver.request()[1], SendAttempt)
     }
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -6,6 +6,7 @@
 from heapq import heappop, heappush
 from math import sqrt
 from random import Random
+from typing import Any
 
 import pytest
 
@@ -236,48 +237,56 @@
     ]
     for driver in fleet:
         driver.update_list(Endpoint("new", started_at_us=driver.now))
-    send_and_answer = []
+    sent_at_us = []
     for second in range(6):
         for driver, part in zip(fleet, parts, strict=True):
             for _ in range(part * 10):
                 driver.now += SECOND // (part * 10)
                 for s in of_type(driver.request()[1], SendAttempt):
                     if s.endpoint_id == "new":
-                        send_and_answer.append(driver.now - SECOND)
+                        sent_at_us.append(driver.now - SECOND)
                     driver.end_attempt(s, Outcome.OK, 5 * MS)
             driver.now = (second + 2) * SECOND
-    send_and_answer.sort()
-    for at in send_and_answer:
-        capacity = 100 * (start + (1 - start) * at / (20 * SECOND))
-        inside = sum(at <= t < at + window * SECOND for t in send_and_answer)
+    sent_at_us.sort()
+    for at_us in sent_at_us:
+        capacity = 100 * (start + (1 - start) * at_us / (20 * SECOND))
+        inside = sum(at_us <= t < at_us + window * SECOND for t in sent_at_us)
         assert inside <= 3 * capacity * window
-    assert len(send_and_answer) > 20  # it does get work
+    assert len(sent_at_us) > 20  # it does get work
+
+
+def sent_to_a_new_endpoint(seed: int, **settings: Any) -> list[int]:
+    """When a request is sent to an endpoint that starts while all others are overloaded, in ten seconds."""
+    driver = BalancerDriver(
+        NON_IDEMPOTENT,
+        endpoint_count=20,
+        load_report_fields=INFLIGHT,
+        instance_count=4,
+        warm_up_start_capacity=0.2,
+        warm_up_us=100 * SECOND,
+        seed=seed,
+        **settings,
+    )
+    serve_reporting(driver, 200, held=0.0)
+    serve_overloaded(driver, 200)
+    driver.update_list(Endpoint("new", started_at_us=driver.now))
+    sent_at_us = []
+    for _ in range(1000):
+        for send in of_type(driver.request()[1], SendAttempt):
+            is_new = send.endpoint_id == "new"
+            load = 0.0 if is_new else 30.0
+            if is_new:
+                sent_at_us.append(driver.now)
+            driver.end_attempt(send, Outcome.OK, int(20 * MS * max(1.0, load)), load_report=(load,))
+        driver.advance(10 * MS)
+    return sent_at_us
 
 
 def test_a_warming_endpoint_gets_what_it_can_do_while_all_others_reject() -> None:
-    # After a release most of a fleet is warming: its part of what was served was next to nothing.
-    got = 0
-    for seed in range(4):  # all of them: the budget is kept in the sum
-        driver = BalancerDriver(
-            NON_IDEMPOTENT,
-            endpoint_count=20,
-            load_report_fields=INFLIGHT,
-            instance_count=4,
-            warm_up_start_capacity=0.2,
-            warm_up_us=100 * SECOND,
-            seed=seed,
-        )
-        serve_reporting(driver, 200, held=0.0)
-        serve_overloaded(driver, 200)
-        driver.update_list(Endpoint("new", started_at_us=driver.now))
-        for _ in range(1000):
-            for s in of_type(driver.request()[1], SendAttempt):
-                held = 0.0 if s.endpoint_id == "new" else 30.0
-                got += s.endpoint_id == "new"
-                driver.end_attempt(s, Outcome.OK, int(20 * MS * max(1.0, held)), load_report=(held,))
-            driver.advance(10 * MS)
-    # In these ten seconds it can do some 100 at the least; the rule on warming endpoints bears thrice that.
-    assert 50 <= got <= 200
+    # After a release most of a fleet is warming: its share of what was served was next to nothing.
+    sent = sum(len(sent_to_a_new_endpoint(seed)) for seed in range(4))  # of all balancers together
+    # In these ten seconds it can do some 100 at the least; the overload rule bears thrice that.
+    assert 50 <= sent <= 200
 
 
 def test_warming_endpoints_get_their_share_from_the_few_balancers_that_sample_them() -> None:
@@ -306,34 +315,14 @@
 
 
 def test_warming_endpoints_are_offered_what_the_overload_rule_surely_bears() -> None:
-    # Half of what an endpoint could do at the least left seventy warming ones idle while the warm ones
+    # Half of what an endpoint could do at the least left seventy warming ones idle while the warm ones were
     # overloaded.
-    multiple, window_us, at = 3.0, 2 * SECOND, list[int]()
-    for seed in range(4):  # all of them: the budget is kept in the sum
-        driver = BalancerDriver(
-            NON_IDEMPOTENT,
-            endpoint_count=20,
-            load_report_fields=INFLIGHT,
-            instance_count=4,
-            warm_up_start_capacity=0.2,
-            warm_up_us=100 * SECOND,
-            overload_multiple=multiple,
-            overload_window_us=window_us,
-            seed=seed,
-        )
-        serve_reporting(driver, 200, held=0.0)
-        serve_overloaded(driver, 200)
-        driver.update_list(Endpoint("new", started_at_us=driver.now))
-        for _ in range(1000):
-            for s in of_type(driver.request()[1], SendAttempt):
-                held = 0.0 if s.endpoint_id == "new" else 30.0
-                at += [driver.now] * (s.endpoint_id == "new")
-                driver.end_attempt(s, Outcome.OK, int(20 * MS * max(1.0, held)), load_report=(held,))
-            driver.advance(10 * MS)
-    at.sort()
+    multiple, window_us = 3.0, 2 * SECOND
+    settings = {"overload_multiple": multiple, "overload_window_us": window_us}
+    sent_at_us = sorted(at for seed in range(4) for at in sent_to_a_new_endpoint(seed, **settings))
     # Fifty a second warm, and a fifth of that at first.
-    assert len(at) >= 100
-    most = max(sum(t <= u < t + window_us for u in at) for t in at)
+    assert len(sent_at_us) >= 100
+    most = max(sum(at <= other < at + window_us for other in sent_at_us) for at in sent_at_us)
     assert most <= multiple * 0.2 * 50 * window_us / SECOND
 
 
