--- a/nickelmount/agent/agent.py
+++ b/nickelmount/agent/agent.py
@@ -52,6 +52,7 @@
 )
 from nickelmount.protocol.address import Address
 from nickelmount.protocol.endpoint_list import EndpointList
+from nickelmount.protocol.http_names import FAILED_BODY, REJECTED_BODY
 
 from .clock import Clock
 from .discovery_client import DiscoveryClient
@@ -68,9 +69,6 @@
 
 NO_REQUEST_ID = 0  # request ids count from 1
 
-REJECTED_BODY = b"refused\n"
-FAILED_BODY = b"failed\n"
-
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
@@ -140,7 +138,7 @@
     def accept(self, request: ClientRequest) -> None:
         """Become responsible for a request: it gets one final answer unless its client disconnects."""
         self._accepted_count += 1
-        request_id = request.number = self._accepted_count
+        request_id = request.request_id = self._accepted_count
         fallback_timer = self._loop.call_later(
             request.timeout_us / 1e6 + FALLBACK_ANSWER_DELAY_S, self._answer_overdue, request_id
         )
@@ -158,8 +156,8 @@
 
     def client_disconnected(self, request: ClientRequest) -> None:
         """Close a request whose client has disconnected; harmless if it is closed already."""
-        if self._close_request(request.number) is not None:
-            self._dispatch(ClientDisconnected(request.number))
+        if self._close_request(request.request_id) is not None:
+            self._dispatch(ClientDisconnected(request.request_id))
 
     def finish_all(self) -> None:
         """Answer every pending request at once: rejected if no attempt was started, else failed."""
--- a/nickelmount/agent/downstream.py
+++ b/nickelmount/agent/downstream.py
@@ -35,7 +35,7 @@
 from httptools import HttpRequestParser
 
 from nickelmount.errors import HttpError
-from nickelmount.protocol.http_names import API_PATH, EXPECT, HEALTH_PATH
+from nickelmount.protocol.http_names import API_PATH, EXPECT, HEALTH_PATH, REJECTED_BODY
 
 from .connection import Connection
 from .http import Headers, HttpMessage, HttpReader, encode_response
@@ -43,7 +43,6 @@
 
 MAX_BODY_BYTES = 64 * 1024  # of a request
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
-REJECTED_BODY = b"refused\n"
 CONNECTION_CLOSE = ("Connection", "close")
 
 
@@ -238,7 +237,7 @@
         """Hand a request to the handler, if it is valid and its client is still there."""
         try:
             request = self._host.validator.check(message, self._on_answer)
-            if request.id in self._host.open_request_ids:
+            if request.client_request_id in self._host.open_request_ids:
                 raise HttpError(409, "this Request-Id is open")
         except HttpError as error:
             self._send_response(error.status, [], _error_body(error))
@@ -248,14 +247,14 @@
             return
         request.has_client_disconnected = self.peer_has_closed
         self._request = request
-        self._host.open_request_ids.add(request.id)
+        self._host.open_request_ids.add(request.client_request_id)
         self._host.handler.accept(request)
 
     def _release_request(self) -> ClientRequest | None:
         """End the state IN_FLIGHT; return the request that was, if any."""
         request, self._request = self._request, None
         if request is not None:
-            self._host.open_request_ids.discard(request.id)
+            self._host.open_request_ids.discard(request.client_request_id)
         return request
 
     def _disconnect_request(self) -> None:
--- a/nickelmount/agent/request_validation.py
+++ b/nickelmount/agent/request_validation.py
@@ -61,7 +61,7 @@
 class ClientRequest:
     """A request of a client that has passed all checks, and the way to answer it."""
 
-    id: bytes  # Request-Id, unique among the requests in flight
+    client_request_id: bytes  # Request-Id, unique among the requests in flight
     method: bytes
     target: bytes  # path and query
     headers: list[tuple[bytes, bytes]]  # those that are forwarded to an endpoint
@@ -72,7 +72,7 @@
     cost_us: int  # rough work on a standard core; 0: unknown
     is_retry: bool  # the client asked before and was rejected or not answered
     respond: Respond
-    number: int = 0  # set by the handler that accepts the request
+    request_id: int = 0  # the agent's own, set by the handler that accepts the request
     # Whether the client has disconnected, even if the event loop has not read its close yet.
     has_client_disconnected: Callable[[], bool] = lambda: False
 
@@ -97,7 +97,7 @@
         request_id = _request_id(fields)
         _check_idempotency_key(fields, idempotency)
         return ClientRequest(
-            id=request_id,
+            client_request_id=request_id,
             method=message.method,
             target=message.target,
             headers=[(name, fields[name]) for name in FORWARDED_HEADERS if name in fields],
--- a/nickelmount/protocol/http_names.py
+++ b/nickelmount/protocol/http_names.py
@@ -34,3 +34,7 @@
 # Fields of an answer
 SERVER_LOAD = b"server-load"  # a load report
 NOT_STARTED = b"not-started"  # b"1": the endpoint did nothing for this request
+
+# Bodies of final answers without a result
+REJECTED_BODY = b"refused\n"
+FAILED_BODY = b"failed\n"
