--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -124,29 +124,29 @@
 @pytest.mark.parametrize("history", ["kept", "gone", "renumbered"])
 def test_agents_that_come_back_in_the_middle_of_an_outage_end_with_the_list(history: Any) -> None:
     async def run() -> None:
-        standin = EmulatedDiscovery()
+        discovery = EmulatedDiscovery()
         e = Experiment(name="x", agents=AgentSettings(instance_count=1))
         try:
-            begun = await standin.start(DiscoveryStart(300, 7, 3, 4, 5, [9001], 10))
+            begun = await discovery.start(DiscoveryStart(300, 7, 3, 4, 5, [9001], 10))
             doc = config(e, 0, begun.port, {"revision": 0, "complete": True, "members": []})
             agents = [HollowAgent(config_from(doc, {}, CLOCK), CLOCK, i) for i in range(12)]
             for a in agents:
                 a.start()
             for _ in range(15):  # more than the history holds
-                await standin.change("DRAINING", count=2, seed=1)
+                await discovery.change("DRAINING", count=2, seed=1)
             await turns(lambda: all(a.received for a in agents))
-            await standin.begin_outage("refused")
-            await standin.change("DELETED", where="zone", seed=2)
+            await discovery.begin_outage("refused")
+            await discovery.change("DELETED", where="zone", seed=2)
             for a in agents[::2]:
                 a.end()
-            ended = await standin.end_outage(history)
+            ended = await discovery.end_outage(history)
             for a in agents[::2]:
                 a.start()
-            await standin.change("SERVING", replaced=True)
-            revision = (await standin.status()).revision
+            await discovery.change("SERVING", replaced=True)
+            revision = (await discovery.status()).revision
             while not all(a.received_at_ns(revision, ended.at_ns) for a in agents):
                 await asyncio.sleep(0.02)
-            serving = standin.serving_ids()
+            serving = discovery.serving_ids()
             for a in agents:
                 assert (
                     {s.id for s in a.agent._balancer.endpoints.ready}
@@ -155,7 +155,7 @@
                 )
                 a.end()
         finally:
-            await standin.close()
+            await discovery.close()
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
