--- a/nickelmount/agent/connection.py
+++ b/nickelmount/agent/connection.py
@@ -87,7 +87,7 @@
         # got them; the failed transport is closing, which tells the two apart.
         self.all_written = not self.transport.is_closing() and self.transport.get_write_buffer_size() == 0
 
-    def nothing_to_read(self) -> bool:
+    def has_nothing_to_read(self) -> bool:
         """Whether the connection is open and its socket has nothing to read, not even the peer's close.
 
         The event loop reads a socket only in its next cycle. A close or a stray byte that arrives before
--- a/nickelmount/agent/connection_pool.py
+++ b/nickelmount/agent/connection_pool.py
@@ -25,7 +25,7 @@
 # milliseconds later. The next request on that connection would be answered with them. A connection is not
 # reused before this time is over; bytes that arrive until then find it idle, and it is closed.
 SETTLE_TIME_US = 10_000
-MAX_RESPONSE_BYTES = 1024 * 1024  # of one body, which is held in memory as a whole
+MAX_RESPONSE_BODY_BYTES = 1024 * 1024  # of one body, which is held in memory as a whole
 
 
 class ConnectionOwner(Protocol):
@@ -52,7 +52,7 @@
         self.idle_since_us = 0
         self.idle_timer: asyncio.TimerHandle | None = None
         self._pool = pool
-        self._reader = HttpReader(HttpResponseParser, MAX_RESPONSE_BYTES)
+        self._reader = HttpReader(HttpResponseParser, MAX_RESPONSE_BODY_BYTES)
 
     def on_data(self, data: bytes) -> None:
         """Hand the response to the owner; close the connection if there is none."""
@@ -90,7 +90,7 @@
 
         One with something to read was closed by the endpoint, or has bytes that nobody asked for.
         """
-        return not self.closed and self.nothing_to_read()
+        return not self.closed and self.has_nothing_to_read()
 
 
 class ConnectionPool:
--- a/nickelmount/agent/discovery_connection.py
+++ b/nickelmount/agent/discovery_connection.py
@@ -14,7 +14,7 @@
 from .connection import Connection
 from .http import HttpReader, encode_request
 
-MAX_ANSWER_BYTES = 4 * 1024 * 1024  # of the body of an answer
+MAX_RESPONSE_BODY_BYTES = 4 * 1024 * 1024  # of the body of an answer
 
 
 class DiscoveryConnection(Connection):
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._reader = HttpReader(HttpResponseParser, MAX_ANSWER_BYTES)
+        self._reader = HttpReader(HttpResponseParser, MAX_RESPONSE_BODY_BYTES)
         self._answer: asyncio.Future[bytes] | None = None  # of the call in flight
 
     async def get(self, target: str) -> bytes:
--- a/nickelmount/agent/downstream.py
+++ b/nickelmount/agent/downstream.py
@@ -131,7 +131,7 @@
 
     def is_idle(self) -> bool:
         """Whether nothing of a request has arrived, not even in the kernel: closing it now loses nothing."""
-        return self.state is ClientState.IDLE and not self.discards_input and self.nothing_to_read()
+        return self.state is ClientState.IDLE and not self.discards_input and self.has_nothing_to_read()
 
     def has_lingered(self, duration_s: float) -> bool:
         """Whether its last answer is older than this and all written, and a close would not reset it."""
@@ -139,7 +139,7 @@
             self.is_lingering
             and self.all_written
             and self._now() - self.timer_started_at > duration_s
-            and self.nothing_to_read()
+            and self.has_nothing_to_read()
         )
 
     def time_limit_s(self, timeouts: ClientTimeouts) -> float | None:
@@ -161,7 +161,7 @@
             self._send_error(HttpError(408, "request not complete in time"))
         elif not self.all_written:
             self.abort()  # the client does not read its answer, and close() would wait until it does
-        elif self.nothing_to_read():
+        elif self.has_nothing_to_read():
             self.close()
 
     # Called by Connection
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -8,7 +8,7 @@
 
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.connection_pool import ConnectionPool
-from nickelmount.agent.discovery_connection import MAX_ANSWER_BYTES
+from nickelmount.agent.discovery_connection import MAX_RESPONSE_BODY_BYTES
 from nickelmount.agent.upstream import Upstream
 from nickelmount.balancer.events import EndpointStatus
 from nickelmount.protocol.endpoint_list import EndpointListParser
@@ -90,7 +90,7 @@
 def test_a_list_of_thousands_is_read_completely() -> None:
     members = [member(f"s-{i:08x}", 1 + i % 60000) for i in range(5000)]
     text = json.dumps({"revision": 42, "complete": True, "members": members}).encode()
-    assert len(text) < MAX_ANSWER_BYTES
+    assert len(text) < MAX_RESPONSE_BODY_BYTES
     endpoint_list = new_parser().parse(json.loads(text))
     assert len({entry.endpoint.id for entry in endpoint_list.entries}) == 5000
 
