--- a/tests/agent_process.py
+++ b/tests/agent_process.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.loopback import Conversation, Peer
+from tests.loopback import ScriptedServer, StreamConnection
 
 
 class AgentProcess:
@@ -35,7 +35,7 @@
         new.write_text(text)
         new.replace(self._path)
 
-    def change_discovery(self, document: dict[str, Any], discovery: Peer) -> None:
+    def change_discovery(self, document: dict[str, Any], discovery: ScriptedServer) -> None:
         """Write the same configuration with another discovery."""
         self.write_config(json.dumps(document | {"discovery": f"127.0.0.1:{discovery.port}"}))
 
@@ -56,9 +56,9 @@
             assert line, "ended"
         return line.decode()
 
-    async def client(self) -> Conversation:
+    async def client(self) -> StreamConnection:
         """A new connection of a client."""
-        return Conversation(*await asyncio.open_connection("127.0.0.1", self.port))
+        return StreamConnection(*await asyncio.open_connection("127.0.0.1", self.port))
 
     async def stop(self) -> None:
         """Shut it down; it must end with exit code 0."""
@@ -83,9 +83,9 @@
 
 
 @contextlib.asynccontextmanager
-async def started_peers(count: int) -> AsyncIterator[list[Peer]]:
+async def started_peers(count: int) -> AsyncIterator[list[ScriptedServer]]:
     """Scripted servers, stopped at the end of the block."""
-    peers = [await Peer().start() for _ in range(count)]
+    peers = [await ScriptedServer().start() for _ in range(count)]
     try:
         yield peers
     finally:
--- a/tests/event_order.py
+++ b/tests/event_order.py
@@ -16,7 +16,7 @@
 from nickelmount.agent.connection import Connection
 from nickelmount.agent.connection_pool import PooledConnection
 from nickelmount.protocol.endpoint_list import ListedEndpoint
-from tests.loopback import World
+from tests.loopback import LoopbackSetup
 
 
 def wait_until_kernel_has(connection: Connection, events: int) -> None:
@@ -32,7 +32,7 @@
     wait_until_kernel_has(connection, select.POLLIN)
 
 
-async def wait_for_accepted(setup: World, count: int) -> None:
+async def wait_for_accepted(setup: LoopbackSetup, count: int) -> None:
     """Wait until the agent has accepted so many requests."""
     while setup.agent.accepted_count < count:
         await asyncio.sleep(0)
@@ -41,7 +41,7 @@
 class DelayedConnect:
     """The nth connection that is opened from now on is established, and handed over only by `hand_over`."""
 
-    def __init__(self, setup: World, monkeypatch: pytest.MonkeyPatch, nth: int = 1) -> None:
+    def __init__(self, setup: LoopbackSetup, monkeypatch: pytest.MonkeyPatch, nth: int = 1) -> None:
         self.established = asyncio.Event()
         self._may_hand_over = asyncio.Event()
         self._opens_before = nth
@@ -65,19 +65,19 @@
 class BlockingClient:
     """A client whose bytes and whose close reach the agent's kernel without a cycle of the event loop."""
 
-    def __init__(self, setup: World) -> None:
-        self._known = set(setup.server.connections)
+    def __init__(self, setup: LoopbackSetup) -> None:
+        self._known = set(setup.listener.connections)
         self._setup = setup
         self.socket = socket.create_connection(("127.0.0.1", setup.port))
 
     async def accepted(self) -> BlockingClient:
         """Wait until the agent has accepted the connection."""
-        while not (new := self._setup.server.connections - self._known):
+        while not (new := self._setup.listener.connections - self._known):
             await asyncio.sleep(0)
         (self._agent_side,) = new
         return self
 
-    def leave(self, how: Callable[[socket.socket], None]) -> None:
+    def disconnect(self, how: Callable[[socket.socket], None]) -> None:
         """Disconnect; returns once the agent's kernel knows, before the agent has read it."""
         how(self.socket)
         wait_until_kernel_has(self._agent_side, select.POLLRDHUP)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -23,7 +23,10 @@
 from nickelmount.protocol.address import Address
 from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser
 
-KEYED, UNSAFE = "registro-servicio", "vale-almacen"  # classes: repeats are dropped by key; must not run twice
+KEYED, NOT_IDEMPOTENT = (
+    "registro-servicio",
+    "vale-almacen",
+)  # classes: repeats are dropped by key; must not run twice
 LOAD_REPORT = b"inflight=0,queue=0,util=0.1"
 TEST_TIMEOUT_S = 60  # a hang fails the test; nothing is timed by this
 
@@ -54,7 +57,7 @@
                 "value": 10.0,
             },
             {
-                "name": UNSAFE,
+                "name": NOT_IDEMPOTENT,
                 "aimUs": 20_000_000,
                 "deadlineUs": 30_000_000,
                 "repeat": "fragile",
@@ -78,7 +81,7 @@
     }
 
 
-def member(name: str, port: int, phase: str = "SERVING", up: int = 0) -> dict[str, Any]:
+def member(name: str, port: int, phase: str = "SERVING", up_since_ms: int = 0) -> dict[str, Any]:
     return {
         "id": name,
         "host_port": f"127.0.0.1:{port}",
@@ -87,7 +90,7 @@
         "cell": 1,
         "phase": phase,
         "size": 1.0,
-        "up_since_ms": up,
+        "up_since_ms": up_since_ms,
     }
 
 
@@ -99,7 +102,7 @@
     return parser.parse({"revision": 42, "complete": complete, "members": list(members)})
 
 
-def complete_list(*peers: Peer) -> EndpointList:
+def complete_list(*peers: ScriptedServer) -> EndpointList:
     """A complete endpoint list that names the peers as s0, s1 ...; without peers, an empty one."""
     return endpoint_list(*(member(f"s{i}", peer.port) for i, peer in enumerate(peers)), complete=True)
 
@@ -108,27 +111,27 @@
 class Message:
     """A request as a peer got it, or an answer as a client got it."""
 
-    first: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
-    peer: Conversation
+    connection: StreamConnection
 
     async def answer(self, status: int = 200, body: bytes = b"done", **headers: str) -> None:
         lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
         lines += [f"{k.replace('_', '-')}: {v}" for k, v in headers.items()]
-        await self.peer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
+        await self.connection.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     @property
     def status(self) -> int:
-        return int(self.first.split()[1])
+        return int(self.start_line.split()[1])
 
 
-class Conversation:
+class StreamConnection:
     """Either end of one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.closed_by_other: asyncio.Event | None = None  # for a peer, whose requests are read as they come
+        self.peer_closed: asyncio.Event | None = None  # for a peer, whose requests are read as they come
 
     async def write(self, data: bytes) -> None:
         self.writer.write(data)
@@ -140,10 +143,10 @@
         body = await self.reader.readexactly(int(headers.get("content-length", "0")))
         return Message(head[0], headers, body, self)
 
-    async def ended(self) -> None:
+    async def wait_for_close(self) -> None:
         """Wait until the other side has closed or reset the connection."""
-        if self.closed_by_other is not None:
-            await self.closed_by_other.wait()
+        if self.peer_closed is not None:
+            await self.peer_closed.wait()
             return
         with contextlib.suppress(ConnectionError):
             while await self.reader.read(65536):
@@ -156,7 +159,7 @@
         """Close it in the kernel now, without a cycle of the event loop."""
         self.writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
-    def told_of_close(self) -> bool:
+    def peer_has_closed(self) -> bool:
         """Whether the kernel knows now that the other side has closed."""
         with self.writer.get_extra_info("socket").dup() as s, contextlib.suppress(BlockingIOError):
             return not s.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -166,32 +169,32 @@
         self.writer.close()
 
 
-class Peer:
+class ScriptedServer:
     """A server whose requests the test answers one by one; probes are answered at once."""
 
     def __init__(self, answers_probes: bool = True) -> None:
         self._answers_probes = answers_probes
         self.requests: asyncio.Queue[Message] = asyncio.Queue()
-        self.connections = 0
+        self.connection_count = 0
 
-    async def start(self) -> Peer:
+    async def start(self) -> ScriptedServer:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = int(self.server.sockets[0].getsockname()[1])
         return self
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
-        conversation = Conversation(reader, writer)
-        conversation.closed_by_other = asyncio.Event()
+        self.connection_count += 1
+        conversation = StreamConnection(reader, writer)
+        conversation.peer_closed = asyncio.Event()
         try:
             while True:
                 message = await conversation.read()
-                if self._answers_probes and message.first.startswith("GET /_load"):
+                if self._answers_probes and message.start_line.startswith("GET /_load"):
                     await message.answer(200, LOAD_REPORT)
                 else:
                     self.requests.put_nowait(message)
         except (asyncio.IncompleteReadError, ConnectionError):
-            conversation.closed_by_other.set()
+            conversation.peer_closed.set()
         finally:
             writer.close()
 
@@ -200,9 +203,9 @@
 
 
 @contextlib.asynccontextmanager
-async def running_peer() -> AsyncIterator[Peer]:
+async def running_server() -> AsyncIterator[ScriptedServer]:
     """A peer that listens until the block ends."""
-    peer = await Peer().start()
+    peer = await ScriptedServer().start()
     try:
         yield peer
     finally:
@@ -246,34 +249,34 @@
 
 
 @dataclass
-class World:
-    """An agent, its backends and its discovery."""
+class LoopbackSetup:
+    """An agent, its endpoints and its discovery."""
 
     agent: Agent
-    server: Listener
+    listener: Listener
     port: int
-    discovery: Peer
-    backends: list[Peer]
+    discovery: ScriptedServer
+    endpoints: list[ScriptedServer]
     clock: Clock
-    clients: list[Conversation] = field(default_factory=list)
+    clients: list[StreamConnection] = field(default_factory=list)
 
     @property
     def pool(self) -> ConnectionPool:
         return self.agent.upstream.pool
 
-    async def client(self) -> Conversation:
-        client = Conversation(*await asyncio.open_connection("127.0.0.1", self.port))
+    async def client(self) -> StreamConnection:
+        client = StreamConnection(*await asyncio.open_connection("127.0.0.1", self.port))
         self.clients.append(client)
         return client
 
-    async def ask(self, request: bytes) -> Conversation:
+    async def send_request(self, request: bytes) -> StreamConnection:
         client = await self.client()
         await client.write(request)
         return client
 
-    async def request(self) -> Message:
+    async def next_request(self) -> Message:
         """The next request that reaches any backend."""
-        waiting = [asyncio.create_task(b.requests.get()) for b in self.backends]
+        waiting = [asyncio.create_task(b.requests.get()) for b in self.endpoints]
         try:
             done, _ = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
             return done.pop().result()
@@ -282,7 +285,7 @@
                 task.cancel()
 
     def nothing_sent(self) -> bool:
-        return all(b.requests.empty() for b in self.backends)
+        return all(b.requests.empty() for b in self.endpoints)
 
     # What the balancer holds. Its attributes are named here only.
 
@@ -329,31 +332,31 @@
 
 
 @contextlib.asynccontextmanager
-async def world(
+async def loopback_setup(
     folder: Path,
-    backends: int = 1,
-    most: int | None = None,
-    times: ClientTimeouts | None = None,
+    endpoints: int = 1,
+    max_sockets: int | None = None,
+    timeouts: ClientTimeouts | None = None,
     **allowed: Any,
-) -> AsyncIterator[World]:
+) -> AsyncIterator[LoopbackSetup]:
     """Everything up and listening; all of it ends with the block."""
-    discovery = await Peer().start()
-    peers = [await Peer().start() for _ in range(backends)]
+    discovery = await ScriptedServer().start()
+    peers = [await ScriptedServer().start() for _ in range(endpoints)]
     doc = config_doc(discovery.port, [member(f"s{i}", p.port) for i, p in enumerate(peers)], **allowed)
     clock = Clock()
     config = load_config(folder, doc, clock)
-    if most is not None:
-        config = replace(config, max_sockets=most)
-    agent, server = assemble(config, clock, times, settle_time_us=0)
+    if max_sockets is not None:
+        config = replace(config, max_sockets=max_sockets)
+    agent, listener = assemble(config, clock, timeouts, settle_time_us=0)
     agent.start(config.known_list)
-    port = await server.listen(Address("127.0.0.1", 0))
-    w = World(agent, server, port, discovery, peers, clock)
+    port = await listener.listen(Address("127.0.0.1", 0))
+    w = LoopbackSetup(agent, listener, port, discovery, peers, clock)
     try:
         async with asyncio.timeout(TEST_TIMEOUT_S):
             yield w
     finally:
         for client in w.clients:
             client.close()
-        server.close()
+        listener.close()
         for peer in [discovery, *peers]:
             await peer.stop()
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -14,17 +14,17 @@
 from nickelmount.balancer.events import Event, RequestArrived
 from nickelmount.protocol.endpoint_list import ListedEndpoint
 from tests.async_test import async_test
-from tests.loopback import KEYED, UNSAFE, World, post, world
+from tests.loopback import KEYED, NOT_IDEMPOTENT, LoopbackSetup, loopback_setup, post
 
 # Requests and their answers
 
 
 @async_test()
 async def test_a_request_is_forwarded_unchanged_and_connections_are_reused(tmp_path: Path) -> None:
-    async with world(tmp_path) as setup:
-        client = await setup.ask(post(body=b"\x00wheel\xff"))
-        message = await setup.request()
-        assert message.first == "POST /api?obj=7f3a HTTP/1.1"
+    async with loopback_setup(tmp_path) as setup:
+        client = await setup.send_request(post(body=b"\x00wheel\xff"))
+        message = await setup.next_request()
+        assert message.start_line == "POST /api?obj=7f3a HTTP/1.1"
         assert message.body == b"\x00wheel\xff"
         assert message.headers["request-id"] == "9b1f"
         assert message.headers["idempotency-key"] == "5c0f"
@@ -33,26 +33,26 @@
         answer = await client.read()
         assert (answer.status, answer.body) == (200, b"\xfeok")
         await client.write(post())
-        await (await setup.request()).answer()
+        await (await setup.next_request()).answer()
         assert (await client.read()).status == 200
-        assert setup.backends[0].connections == 1
+        assert setup.endpoints[0].connection_count == 1
 
 
 @async_test()
 async def test_endpoints_are_probed_first_and_the_connection_serves_the_attempt(tmp_path: Path) -> None:
-    async with world(tmp_path, probes=True) as setup:
-        client = await setup.ask(post())
-        await (await setup.request()).answer()
+    async with loopback_setup(tmp_path, probes=True) as setup:
+        client = await setup.send_request(post())
+        await (await setup.next_request()).answer()
         assert (await client.read()).status == 200
-        assert setup.backends[0].connections == 1
+        assert setup.endpoints[0].connection_count == 1
 
 
-async def status_after_reset(setup: World, cls: str) -> int:
+async def status_after_reset(setup: LoopbackSetup, cls: str) -> int:
     """Reset the first attempt, and answer the second one if it comes; return what the client gets."""
-    client = await setup.ask(post(cls))
-    (await setup.request()).peer.reset()
+    client = await setup.send_request(post(cls))
+    (await setup.next_request()).connection.reset()
     answer = asyncio.create_task(client.read())
-    retry = asyncio.create_task(setup.request())
+    retry = asyncio.create_task(setup.next_request())
     await asyncio.wait([answer, retry], return_when=asyncio.FIRST_COMPLETED)
     if retry.done():
         await retry.result().answer()
@@ -61,13 +61,13 @@
     return (await answer).status
 
 
-@pytest.mark.parametrize(("cls", "status"), [(KEYED, 200), (UNSAFE, 502)])
+@pytest.mark.parametrize(("cls", "status"), [(KEYED, 200), (NOT_IDEMPOTENT, 502)])
 @async_test()
 async def test_what_may_have_run_is_retried_only_where_repeats_are_dropped(
     tmp_path: Path, cls: str, status: int
 ) -> None:
     """An endpoint resets the connection after it has got a request, which may have run."""
-    async with world(tmp_path, backends=3) as setup:
+    async with loopback_setup(tmp_path, endpoints=3) as setup:
         assert await status_after_reset(setup, cls) == status
         assert setup.nothing_sent()
 
@@ -75,45 +75,45 @@
 @async_test()
 async def test_a_request_that_surely_never_ran_is_retried_in_every_class(tmp_path: Path) -> None:
     """An endpoint rejects a request of a class that must not run twice, and says that it has not begun."""
-    async with world(tmp_path, backends=3) as setup:
-        client = await setup.ask(post(UNSAFE))
-        await (await setup.request()).answer(503, b"", Not_Started="1")
-        await (await setup.request()).answer()
+    async with loopback_setup(tmp_path, endpoints=3) as setup:
+        client = await setup.send_request(post(NOT_IDEMPOTENT))
+        await (await setup.next_request()).answer(503, b"", Not_Started="1")
+        await (await setup.next_request()).answer()
         assert (await client.read()).status == 200
 
 
 @async_test()
 async def test_a_client_that_disconnects_ends_its_attempt(tmp_path: Path) -> None:
-    async with world(tmp_path) as setup:
-        client = await setup.ask(post())
-        message = await setup.request()
+    async with loopback_setup(tmp_path) as setup:
+        client = await setup.send_request(post())
+        message = await setup.next_request()
         client.close()
-        await message.peer.ended()
-        client = await setup.ask(post())
-        await (await setup.request()).answer()
+        await message.connection.wait_for_close()
+        client = await setup.send_request(post())
+        await (await setup.next_request()).answer()
         assert (await client.read()).status == 200
 
 
 @async_test()
 async def test_at_its_timeout_a_request_is_answered_and_its_attempt_closed(tmp_path: Path) -> None:
-    async with world(tmp_path) as setup:
-        client = await setup.ask(post(UNSAFE, timeout_ms="1000"))
-        message = await setup.request()
+    async with loopback_setup(tmp_path) as setup:
+        client = await setup.send_request(post(NOT_IDEMPOTENT, timeout_ms="1000"))
+        message = await setup.next_request()
         assert (await client.read()).status == 502
-        await message.peer.ended()
+        await message.connection.wait_for_close()
 
 
 @async_test()
 async def test_a_rejection_says_when_to_retry(tmp_path: Path) -> None:
     """The endpoint rejects everything. After the attempts that its budget allows the balancer gives up."""
-    async with world(tmp_path) as setup:
-        client = await setup.ask(post())
-        await (await setup.request()).answer()
+    async with loopback_setup(tmp_path) as setup:
+        client = await setup.send_request(post())
+        await (await setup.next_request()).answer()
         await client.read()
-        await client.write(post(UNSAFE))
+        await client.write(post(NOT_IDEMPOTENT))
         answer = asyncio.create_task(client.read())
         while not answer.done():
-            message = asyncio.create_task(setup.request())
+            message = asyncio.create_task(setup.next_request())
             await asyncio.wait([answer, message], return_when=asyncio.FIRST_COMPLETED)
             if message.done():
                 await message.result().answer(503, b"", Not_Started="1")
@@ -141,11 +141,11 @@
         return handle(self, now, event)
 
     monkeypatch.setattr(Balancer, "handle", fail_once)
-    async with world(tmp_path) as setup:
-        client = await setup.ask(post())
+    async with loopback_setup(tmp_path) as setup:
+        client = await setup.send_request(post())
         assert (await client.read()).status == 500
         await client.write(post())
-        await (await setup.request()).answer()
+        await (await setup.next_request()).answer()
         assert (await client.read()).status == 200
 
 
@@ -160,8 +160,8 @@
         "handle",
         lambda self, now, event: [] if isinstance(event, RequestArrived) else handle(self, now, event),
     )
-    async with world(tmp_path) as setup:
-        client = await setup.ask(post(timeout_ms="30"))
+    async with loopback_setup(tmp_path) as setup:
+        client = await setup.send_request(post(timeout_ms="30"))
         assert (await client.read()).status == 500
 
 
@@ -192,11 +192,11 @@
     monkeypatch.setattr(Agent, "_handle_event", count_depth)
 
     async def run() -> None:
-        async with world(tmp_path) as setup:
+        async with loopback_setup(tmp_path) as setup:
             setup.pool.max_connections = 1
-            first = await setup.ask(post())
-            message = await setup.request()
-            second = await setup.ask(post(UNSAFE, Request_Id="9b20"))
+            first = await setup.send_request(post())
+            message = await setup.next_request()
+            second = await setup.send_request(post(NOT_IDEMPOTENT, Request_Id="9b20"))
             assert (await second.read()).status == 503
             await message.answer()
             assert (await first.read()).status == 200
@@ -223,7 +223,7 @@
         return actions
 
     monkeypatch.setattr(Balancer, "handle", answer_after_decision)
-    async with world(tmp_path) as setup:
+    async with loopback_setup(tmp_path) as setup:
         agents.append(setup.agent)
         client = await setup.client()
         for _ in range(3):
@@ -232,7 +232,7 @@
         assert setup.nothing_sent()
         assert (setup.balancer_in_flight_count, setup.balancer_request_count) == (0, 0)
         await client.write(post())
-        await (await setup.request()).answer()
+        await (await setup.next_request()).answer()
         assert (await client.read()).status == 200
 
 
@@ -252,9 +252,9 @@
         return acquire(self, listed)
 
     monkeypatch.setattr(ConnectionPool, "acquire", fail_once)
-    async with world(tmp_path, backends=2) as setup:
-        client = await setup.ask(post(UNSAFE))
-        await (await setup.request()).answer()
+    async with loopback_setup(tmp_path, endpoints=2) as setup:
+        client = await setup.send_request(post(NOT_IDEMPOTENT))
+        await (await setup.next_request()).answer()
         assert (await client.read()).status == 200
         assert acquire_count == 2
         assert (setup.balancer_in_flight_count, setup.balancer_request_count) == (0, 0)
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -21,13 +21,13 @@
 from tests.loopback import (
     KEYED,
     LOAD_REPORT,
-    UNSAFE,
+    NOT_IDEMPOTENT,
+    LoopbackSetup,
     Message,
-    Peer,
-    World,
+    ScriptedServer,
     complete_list,
+    loopback_setup,
     post,
-    world,
 )
 
 Disconnect = Callable[[socket.socket], None]
@@ -58,15 +58,15 @@
 STAYS_OR_DISCONNECTS = pytest.mark.parametrize("disconnect", [None, by_close, by_reset])
 
 
-async def open_idle_connections(setup: World) -> None:
+async def open_idle_connections(setup: LoopbackSetup) -> None:
     """Open one to each endpoint, so that a request is written in the cycle in which it is sent."""
-    for listed in complete_list(*setup.backends).entries:
+    for listed in complete_list(*setup.endpoints).entries:
         setup.pool.release(await setup.pool.open(listed), True, listed)
 
 
-async def assert_request_is_closed(setup: World) -> None:
+async def assert_request_is_closed(setup: LoopbackSetup) -> None:
     """Once the disconnect has been read, nothing is in flight or pending, and nothing more is sent."""
-    while setup.server.connections or setup.server.open_request_ids:
+    while setup.listener.connections or setup.listener.open_request_ids:
         await asyncio.sleep(0)
     await asyncio.sleep(TIME_TO_ARRIVE_S)
     assert setup.agent.pending_count == 0
@@ -77,7 +77,7 @@
     assert setup.balancer_in_flight_count == 0
 
 
-async def assert_request_left_no_trace(setup: World) -> None:
+async def assert_request_left_no_trace(setup: LoopbackSetup) -> None:
     """The same where nothing was sent: the balancer counts nothing of it against any endpoint either."""
     await assert_request_is_closed(setup)
     assert all(load == 0 for load in setup.balancer_load_by_endpoint())
@@ -86,12 +86,12 @@
 @asynccontextmanager
 async def agent_without_endpoints(
     folder: Path, is_draining: bool = False
-) -> AsyncIterator[tuple[World, Peer]]:
+) -> AsyncIterator[tuple[LoopbackSetup, ScriptedServer]]:
     """An agent whose endpoint list is empty, and a peer that the list may name later."""
-    async with world(folder, backends=0) as setup:
-        setup.server.is_draining = is_draining
-        peer = await Peer().start()
-        setup.backends.append(peer)
+    async with loopback_setup(folder, endpoints=0) as setup:
+        setup.listener.is_draining = is_draining
+        peer = await ScriptedServer().start()
+        setup.endpoints.append(peer)
         yield setup, peer
 
 
@@ -107,9 +107,9 @@
     """A request waits for any endpoint. One is listed just after the client has disconnected."""
     async with agent_without_endpoints(tmp_path, is_draining) as (setup, peer):
         client = await BlockingClient(setup).accepted()
-        client.socket.send(post(UNSAFE))
+        client.socket.send(post(NOT_IDEMPOTENT))
         await wait_for_accepted(setup, 1)
-        client.leave(disconnect)
+        client.disconnect(disconnect)
         setup.agent.on_endpoint_list(complete_list(peer))
         await assert_request_left_no_trace(setup)
 
@@ -121,10 +121,10 @@
     async with agent_without_endpoints(tmp_path) as (setup, peer):
         clients = [await BlockingClient(setup).accepted() for _ in range(40)]
         for i, client in enumerate(clients):
-            client.socket.send(post(UNSAFE, Request_Id=f"9b{i}"))
+            client.socket.send(post(NOT_IDEMPOTENT, Request_Id=f"9b{i}"))
         await wait_for_accepted(setup, 40)
         for client in clients:
-            client.leave(disconnect)
+            client.disconnect(disconnect)
         setup.agent.on_endpoint_list(complete_list(peer))
         await assert_request_left_no_trace(setup)
 
@@ -141,11 +141,11 @@
     async with agent_without_endpoints(tmp_path) as (setup, peer):
         await open_idle_connections(setup)
         client = await BlockingClient(setup).accepted()
-        client.socket.send(post(UNSAFE))
+        client.socket.send(post(NOT_IDEMPOTENT))
         await wait_for_accepted(setup, 1)
         setup.agent.on_endpoint_list(complete_list(peer))
         if disconnect is not None:
-            client.leave(disconnect)
+            client.disconnect(disconnect)
         setup.fire_next_balancer_timer()
         if disconnect is not None:
             return await assert_request_left_no_trace(setup)
@@ -160,12 +160,12 @@
 @async_test()
 async def test_disconnect_before_the_request_is_read(tmp_path: Path, count: int) -> None:
     """The event loop finds the request and the close at once."""
-    async with world(tmp_path) as setup:
+    async with loopback_setup(tmp_path) as setup:
         await open_idle_connections(setup)
         clients = [await BlockingClient(setup).accepted() for _ in range(count)]
         for i, client in enumerate(clients):
             client.socket.send(post(Request_Id=f"9b{i}"))
-            client.leave(by_close)
+            client.disconnect(by_close)
         await assert_request_left_no_trace(setup)
 
 
@@ -175,15 +175,15 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, count: int
 ) -> None:
     """The client connects, sends and closes while its connection is still in the accept queue."""
-    async with world(tmp_path) as setup:
+    async with loopback_setup(tmp_path) as setup:
         await open_idle_connections(setup)
-        connection_opened, accepted = setup.server.connection_opened, list[ClientConnection]()
+        connection_opened, accepted = setup.listener.connection_opened, list[ClientConnection]()
 
         def count_accepted(client: ClientConnection) -> None:
             accepted.append(client)
             connection_opened(client)
 
-        monkeypatch.setattr(setup.server, "connection_opened", count_accepted)
+        monkeypatch.setattr(setup.listener, "connection_opened", count_accepted)
         for i in range(count):
             client = socket.create_connection(("127.0.0.1", setup.port))
             client.send(post(Request_Id=f"9b{i}"))
@@ -197,26 +197,26 @@
 
 
 def reject(first: Message) -> None:
-    first.peer.writer.write(b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+    first.connection.writer.write(b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 
 
 def lose_connection(first: Message) -> None:
-    first.peer.shut_down_socket()
+    first.connection.shut_down_socket()
 
 
 @WAYS_TO_DISCONNECT
-@pytest.mark.parametrize(("cls", "end_attempt"), [(UNSAFE, reject), (KEYED, lose_connection)])
+@pytest.mark.parametrize(("cls", "end_attempt"), [(NOT_IDEMPOTENT, reject), (KEYED, lose_connection)])
 @async_test()
 async def test_disconnect_before_a_retry(
     tmp_path: Path, disconnect: Disconnect, cls: str, end_attempt: Callable[[Message], None]
 ) -> None:
     """The first attempt ends, and the client disconnects. The event loop reads the attempt's end first."""
-    async with world(tmp_path, backends=2) as setup:
+    async with loopback_setup(tmp_path, endpoints=2) as setup:
         await open_idle_connections(setup)
         client = await BlockingClient(setup).accepted()
         client.socket.send(post(cls))
-        end_attempt(await setup.request())
-        client.leave(disconnect)
+        end_attempt(await setup.next_request())
+        client.disconnect(disconnect)
         while setup.agent.pending_count:
             await asyncio.sleep(0)
         await asyncio.sleep(TIME_TO_ARRIVE_S)
@@ -232,19 +232,19 @@
 
     Of a client that stays, the hedged request is sent.
     """
-    async with world(tmp_path, backends=2, secondCopies=True) as setup:
+    async with loopback_setup(tmp_path, endpoints=2, secondCopies=True) as setup:
         await open_idle_connections(setup)
         setup.set_typical_latency_us(3e6)  # a hedged request is due after thrice as long
         client = await BlockingClient(setup).accepted()
         client.socket.send(post())
-        first = await setup.request()
+        first = await setup.next_request()
         if disconnect is not None:
-            client.leave(disconnect)
+            client.disconnect(disconnect)
         setup.fire_next_balancer_timer()
         if disconnect is not None:
-            await first.peer.ended()
+            await first.connection.wait_for_close()
             return await assert_request_is_closed(setup)
-        await setup.request()
+        await setup.next_request()
         client.socket.close()
 
 
@@ -261,19 +261,19 @@
 
     The connection is handed over after the close was read, or in the cycle before that.
     """
-    async with world(tmp_path) as setup:
+    async with loopback_setup(tmp_path) as setup:
         connect = DelayedConnect(setup, monkeypatch)
         client = await BlockingClient(setup).accepted()
-        client.socket.send(post(UNSAFE))
+        client.socket.send(post(NOT_IDEMPOTENT))
         await connect.established.wait()
         if is_read:
-            client.leave(disconnect)
+            client.disconnect(disconnect)
             while setup.agent.pending_count:
                 await asyncio.sleep(0)
             connect.hand_over()
         else:
             connect.hand_over()
-            client.leave(disconnect)
+            client.disconnect(disconnect)
         await assert_request_left_no_trace(setup)
         assert setup.pool.opening_count == 0
 
@@ -282,30 +282,30 @@
 @async_test()
 async def test_disconnect_during_a_probe(tmp_path: Path, disconnect: Disconnect) -> None:
     """A request waits for the load of an endpoint. The answer to the probe is read before the close."""
-    async with world(tmp_path, backends=0, probes=True) as setup:
-        peer = await Peer(answers_probes=False).start()
-        setup.backends.append(peer)
+    async with loopback_setup(tmp_path, endpoints=0, probes=True) as setup:
+        peer = await ScriptedServer(answers_probes=False).start()
+        setup.endpoints.append(peer)
         setup.agent.on_endpoint_list(complete_list(peer))
         client = await BlockingClient(setup).accepted()
-        client.socket.send(post(UNSAFE))
+        client.socket.send(post(NOT_IDEMPOTENT))
         probe = await peer.requests.get()
-        assert probe.first.startswith("GET /_load")
+        assert probe.start_line.startswith("GET /_load")
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LOAD_REPORT)
-        probe.peer.writer.write(head + LOAD_REPORT)
-        client.leave(disconnect)
+        probe.connection.writer.write(head + LOAD_REPORT)
+        client.disconnect(disconnect)
         await assert_request_left_no_trace(setup)
 
 
 @async_test()
 async def test_disconnect_closes_the_attempt_in_flight(tmp_path: Path) -> None:
     """A client resets its connection while an endpoint works on its request: that attempt is closed."""
-    async with world(tmp_path) as setup:
+    async with loopback_setup(tmp_path) as setup:
         client = await BlockingClient(setup).accepted()
         client.socket.send(post())
-        message = await setup.request()
-        client.leave(by_reset)
-        await message.peer.ended()
-        while setup.server.connections:
+        message = await setup.next_request()
+        client.disconnect(by_reset)
+        await message.connection.wait_for_close()
+        while setup.listener.connections:
             await asyncio.sleep(0)
         assert setup.agent.pending_count == 0
         assert setup.agent.exchanges_in_flight == ()
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.async_test import async_test
-from tests.loopback import KEYED, UNSAFE, post, world
+from tests.loopback import KEYED, NOT_IDEMPOTENT, loopback_setup, post
 from tests.recording_handler import RecordingHandler
 
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -30,7 +30,7 @@
     "timeout without bound": (post(timeout_ms="9" * 30), 400),
     "no id": (post(drop=("Request-Id",)), 400),
     "keyed without key": (post(KEYED, drop=("Idempotency-Key",)), 400),
-    "unsafe with key": (post(UNSAFE, Idempotency_Key="5c0f"), 400),
+    "unsafe with key": (post(NOT_IDEMPOTENT, Idempotency_Key="5c0f"), 400),
     "wrong method": (post().replace(b"POST", b"PUT"), 400),
 }
 
@@ -104,24 +104,24 @@
     # that was answered as failed. It is answered with an error, reaches nobody, and the next request is
     # served.
     sent, status = INVALID_INPUT[name]
-    async with world(tmp_path) as w:
-        handler = RecordingHandler(w.server)
-        client = await w.ask(sent)
+    async with loopback_setup(tmp_path) as w:
+        handler = RecordingHandler(w.listener)
+        client = await w.send_request(sent)
         assert (await client.read()).status == status
-        assert not w.server.open_request_ids
+        assert not w.listener.open_request_ids
         assert not handler.accepted
         # The next one is served, here with the largest body that is allowed.
-        client = await w.ask(post(body=b"x" * 65_536))
-        await (await w.request()).answer()
+        client = await w.send_request(post(body=b"x" * 65_536))
+        await (await w.next_request()).answer()
         assert (await client.read()).status == 200
         assert w.nothing_sent()
 
 
 @async_test()
 async def test_health_check_succeeds_while_serving(tmp_path: Path) -> None:
-    async with world(tmp_path) as w:
+    async with loopback_setup(tmp_path) as w:
         for _ in range(2):
-            client = await w.ask(HEALTH_CHECK)
+            client = await w.send_request(HEALTH_CHECK)
             assert (await client.read()).status == 200
 
 
@@ -130,12 +130,12 @@
     # A client sends a second request, and far more, before the first is answered. That must neither be taken
     # for the body of the first nor fill the memory: the first is served, the second gets an error and reaches
     # nobody.
-    async with world(tmp_path) as w:
-        handler = RecordingHandler(w.server)
-        client = await w.ask(post())
-        forwarded = await w.request()
+    async with loopback_setup(tmp_path) as w:
+        handler = RecordingHandler(w.listener)
+        client = await w.send_request(post())
+        forwarded = await w.next_request()
         client.writer.write(post(Request_Id="9b20") + b"x" * 8_000_000)
-        (connection,) = w.server.connections
+        (connection,) = w.listener.connections
         while not connection.discards_input:
             await asyncio.sleep(0)
         await forwarded.answer()
@@ -149,29 +149,29 @@
 async def test_duplicate_request_id_is_an_error_and_the_first_request_gets_its_answer(tmp_path: Path) -> None:
     # Two connections use one Request-Id at once. Were both forwarded, the answer of one could be taken for
     # that of the other. The second gets an error; once the first is answered, the id can be used again.
-    async with world(tmp_path) as w:
-        handler = RecordingHandler(w.server)
-        first = await w.ask(post())
-        forwarded = await w.request()
-        second = await w.ask(post(body=b"other"))
+    async with loopback_setup(tmp_path) as w:
+        handler = RecordingHandler(w.listener)
+        first = await w.send_request(post())
+        forwarded = await w.next_request()
+        second = await w.send_request(post(body=b"other"))
         assert (await second.read()).status == 409
         await forwarded.answer(200, b"first's")
         assert (await first.read()).body == b"first's"
         assert len(handler.accepted) == 1
         assert w.nothing_sent()
         await second.write(post())
-        await (await w.request()).answer()
+        await (await w.next_request()).answer()
         assert (await second.read()).status == 200
 
 
 @async_test()
 async def test_client_that_expects_100_continue_gets_it(tmp_path: Path) -> None:
-    async with world(tmp_path) as w:
+    async with loopback_setup(tmp_path) as w:
         head, _, body = post(Expect="100-continue").partition(b"\r\n\r\n")
-        client = await w.ask(head + b"\r\n\r\n")
+        client = await w.send_request(head + b"\r\n\r\n")
         assert (await client.read()).status == 100
         await client.write(body)
-        await (await w.request()).answer()
+        await (await w.next_request()).answer()
         assert (await client.read()).status == 200
 
 
@@ -181,9 +181,9 @@
     tmp_path: Path, begun: bytes
 ) -> None:
     # The parser keeps all of a trailer's line: one client with 60 MB took the memory of the whole agent.
-    async with world(tmp_path) as w:
-        client = await w.ask(CHUNKED + begun)
-        (connection,) = w.server.connections
+    async with loopback_setup(tmp_path) as w:
+        client = await w.send_request(CHUNKED + begun)
+        (connection,) = w.listener.connections
         sent_bytes = 0
         while not connection.is_lingering and sent_bytes < 8_000_000:
             await client.write(b"x" * 65536)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -20,7 +20,7 @@
 from nickelmount.protocol.address import Address
 from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser
 from tests.async_test import async_test
-from tests.loopback import Message, Peer, config_doc, load_config, member, post, world
+from tests.loopback import Message, ScriptedServer, config_doc, load_config, loopback_setup, member, post
 
 KNOWN_REVISION = 41
 COMPLETE_LIST_CALL = "GET /catalog/members HTTP/1.1"
@@ -39,7 +39,7 @@
 class Watched:
     """A client of discovery, the scripted discovery that it calls, and what the client has reported."""
 
-    def __init__(self, discovery: Peer, long_poll_ms: int) -> None:
+    def __init__(self, discovery: ScriptedServer, long_poll_ms: int) -> None:
         self.discovery = discovery
         self.parser = EndpointListParser(Clock(), ("a",))
         self.client = DiscoveryClient(address_of(discovery), self.parser, KNOWN_REVISION, 9.0, long_poll_ms)
@@ -70,14 +70,14 @@
             await asyncio.sleep(0)
 
 
-def address_of(peer: Peer) -> Address:
+def address_of(peer: ScriptedServer) -> Address:
     return Address("127.0.0.1", peer.port)
 
 
 @contextlib.asynccontextmanager
 async def watched(long_poll_ms: int = SHARED_LONG_POLL_MS) -> AsyncIterator[Watched]:
     """A watch that has begun."""
-    discovery = await Peer().start()
+    discovery = await ScriptedServer().start()
     watched = Watched(discovery, long_poll_ms)
     watched.watch()
     yield watched
@@ -97,14 +97,14 @@
     async with watched() as w:
         for revision, members in ((42, []), (43, [GOOD_ENTRY])):
             call = await w.call()
-            assert f"index={revision - 1}&wait=" in call.first
+            assert f"index={revision - 1}&wait=" in call.start_line
             await call.answer(200, body(revision, members))
         reported = await w.reported_list()
         assert reported.revision == 43
         assert reported.entries[0].endpoint.id == "s"
         call = await w.call()
-        assert "index=43&" in call.first
-        assert w.discovery.connections == 1
+        assert "index=43&" in call.start_line
+        assert w.discovery.connection_count == 1
         assert w.reports.empty()
         w.watch()  # while a watch runs: no second call
         await call.answer(503, b"")
@@ -118,18 +118,18 @@
     async with watched() as w:
         first = await w.call()
         await first.answer(200, body(42, []), Connection="close")
-        assert "index=42&" in (await w.call()).first
-        await first.peer.ended()  # the old connection is not left open
-        assert w.discovery.connections == 2
+        assert "index=42&" in (await w.call()).start_line
+        await first.connection.wait_for_close()  # the old connection is not left open
+        assert w.discovery.connection_count == 2
         assert w.reports.empty()
 
 
 @async_test()
 async def test_the_balancer_learns_of_changes_and_watches_again_after_a_failure(tmp_path: Path) -> None:
-    async with world(tmp_path, backends=0) as w:
-        (await w.discovery.requests.get()).peer.reset()
-        new = await Peer().start()
-        client = await w.ask(post())  # it waits: there is no endpoint to send it to
+    async with loopback_setup(tmp_path, endpoints=0) as w:
+        (await w.discovery.requests.get()).connection.reset()
+        new = await ScriptedServer().start()
+        client = await w.send_request(post())  # it waits: there is no endpoint to send it to
         call = await w.discovery.requests.get()
         await call.answer(200, body(42, [member("new", new.port)]))
         await (await new.requests.get()).answer()
@@ -161,7 +161,7 @@
         assert await w.reports.get() is None
         w.watch()
         call = await w.call()
-        assert "index=41&" in call.first
+        assert "index=41&" in call.start_line
         await call.answer(200, body(42, [GOOD_ENTRY], complete=True))
         assert (await w.reported_list()).complete
 
@@ -201,10 +201,10 @@
         assert await w.reports.get() is None  # a failed call, and the next is for the complete list
         w.watch()
         call = await w.call()
-        assert call.first == COMPLETE_LIST_CALL
+        assert call.start_line == COMPLETE_LIST_CALL
         await call.answer(200, body(3, [GOOD_ENTRY], complete=True))  # discovery counts from the start again
         assert (await w.reported_list()).revision == 3
-        assert "index=3&" in (await w.call()).first
+        assert "index=3&" in (await w.call()).start_line
 
 
 # Silence: a discovery that is cut off and closes no connection
@@ -217,27 +217,27 @@
     # notified at that very time, and only then did the next call begin.
     async with watched(long_poll_ms=30) as w:
         unanswered = await w.call()
-        assert "&wait=30 " in unanswered.first
-        await unanswered.peer.write(begun)
+        assert "&wait=30 " in unanswered.start_line
+        await unanswered.connection.write(begun)
         async with asyncio.timeout(1.7):
             call = await w.call()
-        await unanswered.peer.ended()
+        await unanswered.connection.wait_for_close()
         # On a new connection, at once, and without waiting for what was missed.
-        assert "index=41&wait=1 " in call.first
-        assert w.discovery.connections == 2
+        assert "index=41&wait=1 " in call.start_line
+        assert w.discovery.connection_count == 2
         await call.answer(200, body(42, [GOOD_ENTRY]))
         assert (await w.reported_list()).revision == 42
         assert w.reports.empty()
-        assert "index=42&wait=30 " in (await w.call()).first
-        assert w.discovery.connections == 2
+        assert "index=42&wait=30 " in (await w.call()).start_line
+        assert w.discovery.connection_count == 2
 
 
 @pytest.mark.usefixtures("short_call_timeout")
 @async_test()
 async def test_a_watch_that_is_silent_on_its_new_connection_too_has_failed() -> None:
     async with watched(long_poll_ms=30) as w:
-        assert "&wait=30 " in (await w.call()).first
-        assert "&wait=1 " in (await w.call()).first
+        assert "&wait=30 " in (await w.call()).start_line
+        assert "&wait=1 " in (await w.call()).start_line
         assert await w.reports.get() is None
         assert w.discovery.requests.empty()
 
@@ -247,17 +247,17 @@
 async def test_at_a_shared_discovery_the_call_after_a_failed_one_does_not_wait(tmp_path: Path) -> None:
     # The first call after an outage began may never be answered. When it was a long poll, that was found out
     # after up to 20.5 s, while changes count as notified much earlier.
-    async with world(tmp_path, backends=0) as w:
+    async with loopback_setup(tmp_path, endpoints=0) as w:
         await (await w.discovery.requests.get()).answer(503, b"")
         unanswered = await w.discovery.requests.get()
-        assert "index=41&wait=1 " in unanswered.first
-        await unanswered.peer.ended()
+        assert "index=41&wait=1 " in unanswered.start_line
+        await unanswered.connection.wait_for_close()
         call = await w.discovery.requests.get()
-        assert "index=41&wait=1 " in call.first
+        assert "index=41&wait=1 " in call.start_line
         await call.answer(200, body(42, [GOOD_ENTRY]))
         call = await w.discovery.requests.get()
-        assert "index=42&wait=" in call.first
-        assert "&wait=1 " not in call.first
+        assert "index=42&wait=" in call.start_line
+        assert "&wait=1 " not in call.start_line
 
 
 @pytest.mark.usefixtures("short_call_timeout")
@@ -284,14 +284,14 @@
     """The wait in the first call of each of twenty agents."""
     waits_ms = []
     for number in range(20):
-        discovery = await Peer().start()
+        discovery = await ScriptedServer().start()
         document = config_doc(discovery.port, [])
         document["settings"]["registryMode"], document["seed"] = mode, f"{number + 1:x}"
         clock = Clock()
         config = load_config(folder, document, clock)
         agent, _ = assemble(config, clock)
         agent.start(config.known_list)
-        first = (await discovery.requests.get()).first
+        first = (await discovery.requests.get()).start_line
         waits_ms.append(int(first.partition("&wait=")[2].split()[0]))
         await discovery.stop()
     return waits_ms
@@ -332,14 +332,14 @@
 @async_test()
 async def test_a_change_of_address_while_a_large_list_is_read_leaves_nothing_of_it() -> None:
     async with watched() as w:
-        new = await Peer().start()
+        new = await ScriptedServer().start()
         await (await w.call()).answer(200, body(50, fleet(FLEET_SIZE), complete=True))
         await w.until_reading(entries=100)
         assert w.reports.empty()
         assert w.parser.cached_entry_count < FLEET_SIZE
         w.change_address(address_of(new))
         call = await new.requests.get()
-        assert call.first.startswith("GET /catalog/members HTTP")
+        assert call.start_line.startswith("GET /catalog/members HTTP")
         await call.answer(200, body(3, fleet(5), complete=True))
         reported = await w.reported_list()
         assert (reported.revision, len(reported.entries)) == (3, 5)
@@ -363,7 +363,7 @@
         assert w.reports.empty()
         w.watch()  # the call of the older list began before the newer one was known: now the complete list
         call = await w.call()
-        assert call.first.startswith("GET /catalog/members HTTP")
+        assert call.start_line.startswith("GET /catalog/members HTTP")
         await call.answer(200, body(51, fleet(5), complete=True))
         await w.reports.get()
         w.change_address(Address("127.0.0.1", 9))
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -51,7 +51,9 @@
     upstream, parser = new_upstream(), new_parser()
     assert len(upstream.apply(parser.parse(complete_list(1, fleet())))) == 200
     assert upstream.apply(parser.parse(complete_list(2, fleet()))) == []
-    changed = fleet(member("s3", 9003, "DRAINING"), member("s4", 9004, up=77_000), member("s5", 9999))
+    changed = fleet(
+        member("s3", 9003, "DRAINING"), member("s4", 9004, up_since_ms=77_000), member("s5", 9999)
+    )
     without_s9 = [entry for entry in changed if entry["id"] != "s9"]
     endpoints = upstream.apply(parser.parse(complete_list(3, without_s9)))
     assert [(endpoint.id, endpoint.status) for endpoint in endpoints] == [
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -17,7 +17,7 @@
 from nickelmount.balancer.settings import DiscoveryMode
 
 from .balancer_driver import MS, NON_IDEMPOTENT, SECOND, BalancerDriver, of_type
-from .loopback import Peer, config_doc, load_config, member
+from .loopback import ScriptedServer, config_doc, load_config, member
 
 
 def test_a_failed_list_call_is_repeated_soon_and_only_then() -> None:
@@ -189,7 +189,7 @@
 def test_where_the_list_is_pushed_a_large_fleet_watches_it_from_the_start(tmp_path: Path) -> None:
     # Pushed, it waits with an agent on this machine: nobody stands in its queue.
     async def run() -> None:
-        peer = await Peer().start()
+        peer = await ScriptedServer().start()
         doc = config_doc(peer.port, [member("s", 9)])
         doc["settings"] |= {"siblings": 200, "registryMode": "push"}
         clock = Clock()
@@ -197,7 +197,7 @@
         agent, _ = assemble(config, clock)
         agent.start(config.known_list)
         async with asyncio.timeout(3):
-            first = (await peer.requests.get()).first
+            first = (await peer.requests.get()).start_line
         # One that falls silent is to be found so and opened anew before 6 s are over.
         wait_s = int(first.partition("&wait=")[2].split()[0]) / 1000
         assert first.startswith("GET /catalog/members?index=41&")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,7 +12,7 @@
 
 from tests.agent_process import AgentProcess, agent_process, complete_list, started_peers
 from tests.async_test import async_test
-from tests.loopback import Conversation, Peer, config_doc, member, post
+from tests.loopback import ScriptedServer, StreamConnection, config_doc, member, post
 
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
 MAX_DESCRIPTORS = 256
@@ -20,16 +20,16 @@
 READY_WITHIN_S, CORE_SHARE = 10.0, 0.05
 
 
-async def peer_at(port: int) -> Peer:
+async def peer_at(port: int) -> ScriptedServer:
     """A scripted server at a port that is given."""
-    peer = Peer()
+    peer = ScriptedServer()
     peer.server, peer.port = await asyncio.start_server(peer.serve, "127.0.0.1", port), port
     return peer
 
 
-async def connect_idle_clients(agent: AgentProcess, count: int, send_request: bool) -> list[Conversation]:
+async def connect_idle_clients(agent: AgentProcess, count: int, send_request: bool) -> list[StreamConnection]:
     """Connections of clients, idle from their start or after one request each."""
-    clients: list[Conversation] = []
+    clients: list[StreamConnection] = []
     for _ in range(count):
         clients.append(await agent.client())
         if send_request:
@@ -39,7 +39,7 @@
     return clients
 
 
-async def is_served(client: Conversation, endpoint: Peer, request_id: str) -> bool:
+async def is_served(client: StreamConnection, endpoint: ScriptedServer, request_id: str) -> bool:
     """Send a request; whether it was answered by way of the endpoint."""
     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
         answer = asyncio.create_task(client.read())
@@ -68,17 +68,17 @@
             resource.prlimit(pid, resource.RLIMIT_NOFILE, (MAX_DESCRIPTORS, MAX_DESCRIPTORS))
             watch = await discovery.requests.get()
             discovery.server.close()
-            watch.peer.reset()
+            watch.connection.reset()
             await agent.log_line("call to discovery failed")
             clients = await connect_idle_clients(agent, MAX_DESCRIPTORS, send_request)
             await agent.log_line("call to discovery failed")  # it goes on to be called while they stay
             returned = await peer_at(discovery.port)
             call = await returned.requests.get()
             await call.answer(200, complete_list(42, member("b", new.port)))
-            assert "index=42&" in (await returned.requests.get()).first
+            assert "index=42&" in (await returned.requests.get()).start_line
             # On a connection that stayed, and on a new one. A new one may be closed unread while all places
             # are in use; then the next is tried.
-            client = next(client for client in clients if not client.told_of_close())
+            client = next(client for client in clients if not client.peer_has_closed())
             served = 0
             while served < 2:
                 served += await is_served(client, new, f"9b{served}")
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -15,7 +15,17 @@
 from nickelmount.agent.downstream import ClientConnection, ClientTimeouts
 from tests.agent_process import AgentProcess, agent_process, started_peers
 from tests.async_test import async_test
-from tests.loopback import UNSAFE, Conversation, Message, Peer, World, config_doc, member, post, world
+from tests.loopback import (
+    NOT_IDEMPOTENT,
+    LoopbackSetup,
+    Message,
+    ScriptedServer,
+    StreamConnection,
+    config_doc,
+    loopback_setup,
+    member,
+    post,
+)
 from tests.recording_handler import RecordingHandler
 from tests.test_client_input import CHUNKED, HEALTH_CHECK
 
@@ -28,24 +38,26 @@
 SOCKETS_FOR_ONE_CLIENT, SOCKETS_FOR_TWO_CLIENTS = 34, 37
 
 
-async def is_healthy(client: Conversation) -> bool:
+async def is_healthy(client: StreamConnection) -> bool:
     await client.write(HEALTH_CHECK)
     return (await client.read()).status == 200
 
 
-async def connect_and_send(w: World, data: bytes, client: socket.socket | None = None) -> Conversation:
+async def connect_and_send(
+    w: LoopbackSetup, data: bytes, client: socket.socket | None = None
+) -> StreamConnection:
     """Send before the agent can accept: no sweep finds the connection without a byte, and closes it."""
     client = client or socket.socket()
     client.connect(("127.0.0.1", w.port))
     client.sendall(data)
-    conversation = Conversation(*await asyncio.open_connection(sock=client, limit=MAX_BUFFERED_BYTES))
+    conversation = StreamConnection(*await asyncio.open_connection(sock=client, limit=MAX_BUFFERED_BYTES))
     w.clients.append(conversation)
     return conversation
 
 
-async def sweep_has_passed(w: World) -> None:
+async def sweep_has_passed(w: LoopbackSetup) -> None:
     """Wait until a connection on which nothing is sent has been closed by a sweep."""
-    await (await w.client()).ended()
+    await (await w.client()).wait_for_close()
 
 
 # Time limits
@@ -68,12 +80,12 @@
 ) -> None:
     # A client connects and sends nothing, or a part of a request and no more. Its connection would be
     # occupied for ever. After a while it is closed; a request that had begun is answered first.
-    async with world(tmp_path, times=EXPIRE_AT_ONCE) as w:
-        handler = RecordingHandler(w.server)
+    async with loopback_setup(tmp_path, timeouts=EXPIRE_AT_ONCE) as w:
+        handler = RecordingHandler(w.listener)
         client = await connect_and_send(w, begun)
         if status is not None:
             assert (await client.read()).status == status
-        await client.ended()
+        await client.wait_for_close()
         assert not handler.accepted
 
 
@@ -81,26 +93,26 @@
 async def test_request_in_flight_and_kept_connection_do_not_expire_as_incomplete(tmp_path: Path) -> None:
     # An endpoint answers late, and its client sends the next request late. Neither is a request that does not
     # arrive: sweeps that close others meanwhile leave this connection open.
-    async with world(tmp_path, times=EXPIRE_AT_ONCE) as w:
+    async with loopback_setup(tmp_path, timeouts=EXPIRE_AT_ONCE) as w:
         client = await connect_and_send(w, post())
         for _ in range(2):
-            forwarded = await w.request()
+            forwarded = await w.next_request()
             await sweep_has_passed(w)
-            assert not client.told_of_close()
+            assert not client.peer_has_closed()
             await forwarded.answer()
             assert (await client.read()).status == 200
             await sweep_has_passed(w)
             await client.write(post())
-        await (await w.request()).answer()
+        await (await w.next_request()).answer()
 
 
-async def unread_answer(w: World) -> tuple[Conversation, ClientConnection]:
+async def unread_answer(w: LoopbackSetup) -> tuple[StreamConnection, ClientConnection]:
     """A client that reads nothing, and its connection with an answer that the kernel holds only in part."""
     client_socket = socket.socket()
     client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client = await connect_and_send(w, post(), client_socket)
-    forwarded = await w.request()
-    (connection,) = w.server.connections
+    forwarded = await w.next_request()
+    (connection,) = w.listener.connections
     assert connection.transport is not None
     connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     await forwarded.answer(200, b"x" * 500_000)
@@ -114,11 +126,11 @@
 async def test_client_that_sends_requests_and_reads_no_answers_is_disconnected(tmp_path: Path) -> None:
     # A client sends request after request and reads no answer. The answers would pile up in the agent's
     # memory: with one still unwritten, the next request ends the connection, and reaches nobody.
-    async with world(tmp_path) as w:
-        handler = RecordingHandler(w.server)
+    async with loopback_setup(tmp_path) as w:
+        handler = RecordingHandler(w.listener)
         client, _ = await unread_answer(w)
         await client.write(post(Request_Id="9b21"))
-        while w.server.connections:
+        while w.listener.connections:
             await asyncio.sleep(0)
         assert len(handler.accepted) == 1
         assert w.nothing_sent()
@@ -129,9 +141,9 @@
     # A client neither reads its answer nor closes. A close that waits for the answer to be written would
     # never end, and the connection would be occupied for ever: it is aborted.
     times = replace(EXPIRE_AT_ONCE, sweep_interval_s=0.02, keepalive_s=0.0)
-    async with world(tmp_path, times=times) as w:
+    async with loopback_setup(tmp_path, timeouts=times) as w:
         await unread_answer(w)
-        while w.server.connections:
+        while w.listener.connections:
             await asyncio.sleep(0.001)
 
 
@@ -143,13 +155,13 @@
     # More clients connect than there are descriptors for. The connection that was used longest ago makes
     # room.
     times = replace(EXPIRE_AT_ONCE, sweep_interval_s=60.0)
-    async with world(tmp_path, most=SOCKETS_FOR_TWO_CLIENTS, times=times) as w:
+    async with loopback_setup(tmp_path, max_sockets=SOCKETS_FOR_TWO_CLIENTS, timeouts=times) as w:
         first, second = await w.client(), await w.client()
         assert await is_healthy(second)
         assert await is_healthy(first)
         assert await is_healthy(await w.client())
-        await second.ended()
-        assert not first.told_of_close()
+        await second.wait_for_close()
+        assert not first.peer_has_closed()
 
 
 @async_test()
@@ -157,32 +169,32 @@
     # More clients connect than there are descriptors for, and all connections are in use. A request in
     # flight must not be lost for a newcomer, and who was just answered is likely to send again: the new one
     # is closed.
-    async with world(tmp_path, most=SOCKETS_FOR_ONE_CLIENT) as w:
-        client = await w.ask(post())
-        forwarded = await w.request()
-        await (await w.client()).ended()
+    async with loopback_setup(tmp_path, max_sockets=SOCKETS_FOR_ONE_CLIENT) as w:
+        client = await w.send_request(post())
+        forwarded = await w.next_request()
+        await (await w.client()).wait_for_close()
         await forwarded.answer()
         assert (await client.read()).status == 200
         # One that was used just now stays, too.
-        await (await w.client()).ended()
+        await (await w.client()).wait_for_close()
         assert await is_healthy(client)
 
 
 @async_test()
 async def test_connection_without_any_request_is_evicted_at_once(tmp_path: Path) -> None:
     # A client connects and sends nothing, while another needs the connection.
-    async with world(tmp_path, most=SOCKETS_FOR_ONE_CLIENT) as w:
+    async with loopback_setup(tmp_path, max_sockets=SOCKETS_FOR_ONE_CLIENT) as w:
         silent = await w.client()
         assert await is_healthy(await w.client())
-        await silent.ended()
+        await silent.wait_for_close()
 
 
 # The agent as a process
 
 
 async def send_until_forwarded(
-    agent: AgentProcess, endpoint: Peer, request: bytes
-) -> tuple[Conversation, Message]:
+    agent: AgentProcess, endpoint: ScriptedServer, request: bytes
+) -> tuple[StreamConnection, Message]:
     """As clients do, send it again on a new connection where one was closed before it was read."""
     while True:
         client = await agent.client()
@@ -210,8 +222,10 @@
             await early.write(post())
             first = await endpoint.requests.get()
             agent.process.send_signal(signal.SIGTERM)
-            await idle.ended()
-            late, second = await send_until_forwarded(agent, endpoint, post(UNSAFE, Request_Id="9b20"))
+            await idle.wait_for_close()
+            late, second = await send_until_forwarded(
+                agent, endpoint, post(NOT_IDEMPOTENT, Request_Id="9b20")
+            )
             for client, forwarded in ((early, first), (late, second)):
                 await forwarded.answer()
                 answer = await client.read()
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -25,7 +25,7 @@
 from nickelmount.fleet.request_statistics import RequestPath
 from nickelmount.fleet.request_tracker import RequestTracker
 
-from .loopback import Conversation, Message, Peer
+from .loopback import Message, ScriptedServer, StreamConnection
 
 MS_NS = 1_000_000
 HISTOGRAM_KEYS = ("from_due", "from_written", "lateness")
@@ -121,7 +121,7 @@
 
     async def body() -> None:
         monkeypatch.setattr(request_tracker, "ANSWER_GRACE_S", 0.02)
-        peer, tracker = await Peer().start(), new_tracker(timeout_ms=30)
+        peer, tracker = await ScriptedServer().start(), new_tracker(timeout_ms=30)
         pool = LoadConnectionPool(peer.port, tracker.end)
         tracker.start(pool, "direct", time.monotonic_ns())
         await tracker.all_ended.wait()
@@ -129,7 +129,7 @@
         assert figures["lost"] == figures["calls"] == 1
         assert decoded(figures)["from_due"].get_max_value() >= 50_000
         assert not pool.ready
-        await (await peer.requests.get()).peer.ended()
+        await (await peer.requests.get()).connection.wait_for_close()
         await peer.stop()
 
     within(body)
@@ -137,7 +137,7 @@
 
 async def result_of_one(respond: Callable[[Message], Awaitable[None]]) -> dict[str, Any]:
     """The result of one request that is responded to like this."""
-    peer, tracker = await Peer().start(), new_tracker(method="POST", body_bytes=7)
+    peer, tracker = await ScriptedServer().start(), new_tracker(method="POST", body_bytes=7)
     pool = LoadConnectionPool(peer.port, tracker.end)
     tracker.start(pool, "direct", time.monotonic_ns())
     message = await peer.requests.get()
@@ -154,14 +154,14 @@
     """An endpoint rejects, fails, sends what is no HTTP, closes without an answer, or does not listen."""
 
     async def close(message: Message) -> None:
-        message.peer.close()
+        message.connection.close()
 
     async def body() -> None:
         for status, kind in ((200, "served"), (429, "refused"), (503, "refused"), (500, "failed")):
             assert (await result_of_one(partial(Message.answer, status=status)))[kind] == 1
-        assert (await result_of_one(lambda m: m.peer.write(b"what?\r\n\r\n")))["failed"] == 1
+        assert (await result_of_one(lambda m: m.connection.write(b"what?\r\n\r\n")))["failed"] == 1
         assert (await result_of_one(close))["lost"] == 1
-        peer, tracker = await Peer().start(), new_tracker()
+        peer, tracker = await ScriptedServer().start(), new_tracker()
         await peer.stop()
         pool = LoadConnectionPool(peer.port, tracker.end)  # nobody listens
         tracker.start(pool, "direct", time.monotonic_ns())
@@ -243,10 +243,10 @@
 
     async def body() -> None:
         async with emulated_endpoints(work_ms=20_000.0) as (endpoints, ports):
-            clients: list[Conversation] = []
+            clients: list[StreamConnection] = []
 
-            async def send(target: str, *headers: str) -> Conversation:
-                client = Conversation(*await asyncio.open_connection("127.0.0.1", ports[0]))
+            async def send(target: str, *headers: str) -> StreamConnection:
+                client = StreamConnection(*await asyncio.open_connection("127.0.0.1", ports[0]))
                 clients.append(client)
                 lines = [f"GET {target} HTTP/1.1", "Host: a", *headers, "", ""]
                 await client.write("\r\n".join(lines).encode())
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -14,14 +14,14 @@
 from tests.event_order import DelayedConnect, wait_until_readable
 from tests.loopback import (
     LOAD_REPORT,
-    UNSAFE,
+    NOT_IDEMPOTENT,
+    LoopbackSetup,
     Message,
-    World,
     endpoint_list,
+    loopback_setup,
     member,
     post,
-    running_peer,
-    world,
+    running_server,
 )
 
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
@@ -37,7 +37,7 @@
         monkeypatch.setattr(Clock, "now", lambda _: time.monotonic_ns() // 1000 + self.shift_us)
 
 
-def connection_in_flight(setup: World) -> PooledConnection:
+def connection_in_flight(setup: LoopbackSetup) -> PooledConnection:
     """The connection of the one attempt that is in flight."""
     (exchange,) = setup.agent.exchanges_in_flight
     assert exchange.connection is not None
@@ -48,10 +48,10 @@
     time.sleep(duration_s)
 
 
-async def serve_one(setup: World) -> Message:
+async def serve_one(setup: LoopbackSetup) -> Message:
     """One request that is served; its connection to the endpoint becomes idle."""
-    client = await setup.ask(post())
-    message = await setup.request()
+    client = await setup.send_request(post())
+    message = await setup.next_request()
     await message.answer()
     assert (await client.read()).status == 200
     client.close()
@@ -67,10 +67,10 @@
 
     In its next cycle it finds both. The response has arrived, so the client gets it.
     """
-    async with world(tmp_path) as setup:
-        client = await setup.ask(post(UNSAFE, timeout_ms="400"))
-        message = await setup.request()
-        message.peer.writer.write(RESPONSE)
+    async with loopback_setup(tmp_path) as setup:
+        client = await setup.send_request(post(NOT_IDEMPOTENT, timeout_ms="400"))
+        message = await setup.next_request()
+        message.connection.writer.write(RESPONSE)
         wait_until_readable(connection_in_flight(setup))
         block_event_loop(0.45)
         assert (await client.read()).status == 200
@@ -87,30 +87,30 @@
 
     The response is still served, but its connection is closed at once, and nothing new goes to that endpoint.
     """
-    async with world(tmp_path, backends=2, connIdleUs=LONG_US) as setup:
-        client = await setup.ask(post(UNSAFE))
-        message = await setup.request()
+    async with loopback_setup(tmp_path, endpoints=2, connIdleUs=LONG_US) as setup:
+        client = await setup.send_request(post(NOT_IDEMPOTENT))
+        message = await setup.next_request()
         connection = connection_in_flight(setup)
         port = connection.listed.address.port
-        index = next(i for i, peer in enumerate(setup.backends) if peer.port == port)
-        name, other = f"s{index}", setup.backends[1 - index]
-        message.peer.writer.write(RESPONSE)
+        index = next(i for i, peer in enumerate(setup.endpoints) if peer.port == port)
+        name, other = f"s{index}", setup.endpoints[1 - index]
+        message.connection.writer.write(RESPONSE)
         wait_until_readable(connection)
         setup.agent.on_endpoint_list(
             {
                 "drains": endpoint_list(member(name, port, "DRAINING")),
                 "is removed": endpoint_list(member(name, port, "DELETED")),
                 "is not listed": endpoint_list(member(f"s{1 - index}", other.port), complete=True),
-                "moves": endpoint_list(member(name, other.port, up=1_700_000_000_000)),
+                "moves": endpoint_list(member(name, other.port, up_since_ms=1_700_000_000_000)),
             }[change]
         )
         assert (await client.read()).status == 200
-        await message.peer.ended()
+        await message.connection.wait_for_close()
         for i in range(4):
-            client = await setup.ask(post(UNSAFE, Request_Id=f"9c{i}"))
+            client = await setup.send_request(post(NOT_IDEMPOTENT, Request_Id=f"9c{i}"))
             await (await other.requests.get()).answer()
             assert (await client.read()).status == 200
-        assert setup.backends[index].requests.empty()
+        assert setup.endpoints[index].requests.empty()
 
 
 @pytest.mark.parametrize("received", [b"H", b"HTTP/1.1 200 OK\r\nContent-", RESPONSE[:-1]])
@@ -123,14 +123,14 @@
 
     Its class must not run twice: it is not retried, and the client must not be told that it was rejected.
     """
-    async with world(tmp_path, backends=2) as setup:
-        client = await setup.ask(post(UNSAFE))
-        message = await setup.request()
-        await message.peer.write(received)
+    async with loopback_setup(tmp_path, endpoints=2) as setup:
+        client = await setup.send_request(post(NOT_IDEMPOTENT))
+        message = await setup.next_request()
+        await message.connection.write(received)
         if end == "reset":
-            message.peer.reset()
+            message.connection.reset()
         else:
-            message.peer.close()
+            message.connection.close()
         assert (await client.read()).status == 502
         assert setup.nothing_sent()
         assert setup.agent.exchanges_in_flight == ()
@@ -144,15 +144,15 @@
 
     They are in the kernel, not read yet. Sent on this connection, the request would be answered with them.
     """
-    async with world(tmp_path) as setup:
+    async with loopback_setup(tmp_path) as setup:
         first = await serve_one(setup)
         (idle,) = setup.pool.open_connections
         client = await setup.client()
-        first.peer.writer.write(late_bytes)
+        first.connection.writer.write(late_bytes)
         wait_until_readable(idle)
-        await client.write(post(UNSAFE, Request_Id="9b30"))
-        second = await setup.request()
-        assert second.peer is not first.peer
+        await client.write(post(NOT_IDEMPOTENT, Request_Id="9b30"))
+        second = await setup.next_request()
+        assert second.connection is not first.connection
         await second.answer(200, b"mine")
         assert (await client.read()).body == b"mine"
 
@@ -164,11 +164,11 @@
 async def test_a_request_has_no_more_attempts_than_the_settings_allow(tmp_path: Path) -> None:
     """Every endpoint rejects. After the last attempt the request surely never ran, so it is rejected."""
     for max_attempts in (1, 2, 3):
-        async with world(tmp_path, backends=6, maxAttempts=max_attempts) as setup:
-            client, attempts = await setup.ask(post(UNSAFE)), 0
+        async with loopback_setup(tmp_path, endpoints=6, maxAttempts=max_attempts) as setup:
+            client, attempts = await setup.send_request(post(NOT_IDEMPOTENT)), 0
             answer = asyncio.create_task(client.read())
             while not answer.done():
-                message = asyncio.create_task(setup.request())
+                message = asyncio.create_task(setup.next_request())
                 await asyncio.wait([message, answer], return_when=asyncio.FIRST_COMPLETED)
                 if message.done():
                     attempts += 1
@@ -185,13 +185,13 @@
 
     Were it closed only after that, two endpoints would hold the request at once.
     """
-    async with world(tmp_path, backends=2) as setup:
-        client = await setup.ask(post())
-        first = await setup.request()
-        await first.peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: none\r\n\r\n")
-        second = await setup.request()
-        assert first.peer.closed_by_other is not None
-        await first.peer.ended()
+    async with loopback_setup(tmp_path, endpoints=2) as setup:
+        client = await setup.send_request(post())
+        first = await setup.next_request()
+        await first.connection.write(b"HTTP/1.1 200 OK\r\nContent-Length: none\r\n\r\n")
+        second = await setup.next_request()
+        assert first.connection.peer_closed is not None
+        await first.connection.wait_for_close()
         assert len(setup.agent.exchanges_in_flight) == 1
         await second.answer()
         assert (await client.read()).status == 200
@@ -207,10 +207,10 @@
     once, although half of its timeout remains.
     """
     clock = ShiftedClock(monkeypatch)
-    async with world(tmp_path, backends=2) as setup:
+    async with loopback_setup(tmp_path, endpoints=2) as setup:
         connect = DelayedConnect(setup, monkeypatch, nth=2)
-        client = await setup.ask(post())
-        await (await setup.request()).answer(500)
+        client = await setup.send_request(post())
+        await (await setup.next_request()).answer(500)
         await connect.established.wait()
         clock.shift_us += DEDUP_WINDOW_US
         connect.hand_over()
@@ -230,15 +230,15 @@
     repeat that no endpoint drops.
     """
     clock = ShiftedClock(monkeypatch)
-    async with world(tmp_path, backends=2, secondCopies=True) as setup:
+    async with loopback_setup(tmp_path, endpoints=2, secondCopies=True) as setup:
         for _ in range(3):  # now the balancer knows a typical latency, without which it does not hedge
             await serve_one(setup)
         for name in ("s0", "s1"):
             setup.pool.close_idle(name)
         connect = DelayedConnect(setup, monkeypatch, nth=1)
-        client = await setup.ask(post(Request_Id="9b31"))
+        client = await setup.send_request(post(Request_Id="9b31"))
         await connect.established.wait()
-        hedge = await setup.request()
+        hedge = await setup.next_request()
         clock.shift_us += DEDUP_WINDOW_US
         connect.hand_over()
         while len(setup.agent.exchanges_in_flight) > 1:
@@ -257,10 +257,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An endpoint gets a new address while a connection to the old one is being established."""
-    async with world(tmp_path) as setup, running_peer() as new:
-        old = setup.backends[0]
+    async with loopback_setup(tmp_path) as setup, running_server() as new:
+        old = setup.endpoints[0]
         connect = DelayedConnect(setup, monkeypatch)
-        client = await setup.ask(post(UNSAFE))
+        client = await setup.send_request(post(NOT_IDEMPOTENT))
         await connect.established.wait()
         setup.agent.on_endpoint_list(endpoint_list(member("s0", new.port)))
         connect.hand_over()
@@ -280,16 +280,16 @@
     It was chosen as one that would drop a repeat of the request; there it may not know the key. The choice is
     made again.
     """
-    async with world(tmp_path) as setup:
+    async with loopback_setup(tmp_path) as setup:
         connect = DelayedConnect(setup, monkeypatch)
-        client = await setup.ask(post())
+        client = await setup.send_request(post())
         await connect.established.wait()
         changed = {changed_field: {"locality": "b", "cell": 2}[changed_field]}
         setup.agent.on_endpoint_list(
-            endpoint_list(member("s0", setup.backends[0].port) | changed, zones=("a", "b"))
+            endpoint_list(member("s0", setup.endpoints[0].port) | changed, zones=("a", "b"))
         )
         connect.hand_over()
-        message = await setup.request()
-        assert setup.backends[0].connections == 2
+        message = await setup.next_request()
+        assert setup.endpoints[0].connection_count == 2
         await message.answer()
         assert (await client.read()).status == 200
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -10,13 +10,13 @@
 
 from tests.agent_process import agent_process, complete_list, started_peers
 from tests.async_test import async_test
-from tests.loopback import Message, Peer, config_doc, member, post
+from tests.loopback import Message, ScriptedServer, config_doc, member, post
 
 
-async def complete_list_call(discovery: Peer) -> Message:
+async def complete_list_call(discovery: ScriptedServer) -> Message:
     """The next call to discovery, which must be for the complete list."""
     call = await discovery.requests.get()
-    assert call.first == "GET /catalog/members HTTP/1.1"
+    assert call.start_line == "GET /catalog/members HTTP/1.1"
     return call
 
 
@@ -29,10 +29,10 @@
         for _ in range(2):  # a restart begins with the same old list
             async with agent_process(tmp_path, document) as agent:
                 call = await discovery.requests.get()
-                assert call.first.startswith("GET /catalog/members?index=41&wait=")
+                assert call.start_line.startswith("GET /catalog/members?index=41&wait=")
                 entries = member("a", first.port, "DRAINING"), member("b", second.port)
                 await call.answer(200, complete_list(42, *entries))
-                assert "index=42&" in (await discovery.requests.get()).first
+                assert "index=42&" in (await discovery.requests.get()).start_line
                 client = await agent.client()
                 await client.write(post())
                 await (await second.requests.get()).answer()
@@ -55,9 +55,9 @@
             agent.change_discovery(document, new)
             agent.process.send_signal(signal.SIGHUP)
             call = await complete_list_call(new)
-            await watch.peer.ended()
+            await watch.connection.wait_for_close()
             await call.answer(200, complete_list(7, member("b", second.port)))
-            assert "index=7&" in (await new.requests.get()).first
+            assert "index=7&" in (await new.requests.get()).start_line
             await in_flight.answer()
             assert (await client.read()).status == 200
             # An endpoint that the new list does not name is removed.
@@ -81,13 +81,13 @@
                 agent.write_config(text)
                 agent.process.send_signal(signal.SIGHUP)
                 await agent.log_line("the old configuration stays")
-            assert not watch.peer.told_of_close()
+            assert not watch.connection.peer_has_closed()
             for discovery in (between, last):
                 agent.change_discovery(document, discovery)
                 agent.process.send_signal(signal.SIGHUP)
                 call = await complete_list_call(discovery)
             await call.answer(200, complete_list(3))
-            assert "index=3&" in (await last.requests.get()).first
+            assert "index=3&" in (await last.requests.get()).start_line
             agent.process.send_signal(signal.SIGHUP)
             await agent.stop()  # at once after the reload
 
@@ -102,5 +102,5 @@
             agent.process.send_signal(signal.SIGHUP)
             await (await complete_list_call(new)).answer(503, b"")
             await (await complete_list_call(new)).answer(200, complete_list(9))
-            assert "index=9&" in (await new.requests.get()).first
+            assert "index=9&" in (await new.requests.get()).start_line
             await agent.stop()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -18,7 +18,7 @@
 from tests.agent_process import agent_process, complete_list, started_peers
 from tests.async_test import async_test
 from tests.event_order import BlockingClient, wait_for_accepted
-from tests.loopback import UNSAFE, Conversation, config_doc, member, post, world
+from tests.loopback import NOT_IDEMPOTENT, StreamConnection, config_doc, loopback_setup, member, post
 
 NOW = ShutdownTimes(close_idle_after_s=0.0, serve_until_s=0.0, finish_by_s=30.0)
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -41,14 +41,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(listener_module, "FIRST_REQUEST_GRACE_S", 30.0)
-    async with world(tmp_path) as w:
+    async with loopback_setup(tmp_path) as w:
         fresh = await BlockingClient(w).accepted()
-        idle = await w.ask(HEALTH_CHECK)
+        idle = await w.send_request(HEALTH_CHECK)
         assert (await idle.read()).status == 200
-        stop = asyncio.create_task(w.server.shut_down(NOW))
-        await idle.ended()  # the idle ones have been closed
+        stop = asyncio.create_task(w.listener.shut_down(NOW))
+        await idle.wait_for_close()  # the idle ones have been closed
         fresh.socket.send(post())
-        await (await w.request()).answer()
+        await (await w.next_request()).answer()
         assert (await read_all(fresh.socket)).startswith(b"HTTP/1.1 200 ")
         fresh.socket.close()
         await stop
@@ -59,19 +59,19 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(listener_module, "FIRST_REQUEST_GRACE_S", 0.01)
-    async with world(tmp_path) as w:
+    async with loopback_setup(tmp_path) as w:
         client = await BlockingClient(w).accepted()
         async with asyncio.timeout(10):
-            await w.server.shut_down(NOW)
+            await w.listener.shut_down(NOW)
         assert await read_all(client.socket) == b""
 
 
-@pytest.mark.parametrize("request_class", [UNSAFE, None])
+@pytest.mark.parametrize("request_class", [NOT_IDEMPOTENT, None])
 @async_test()
 async def test_a_connection_in_the_accept_queue_at_the_end_gets_an_answer(
     tmp_path: Path, request_class: str | None
 ) -> None:
-    async with world(tmp_path) as w:
+    async with loopback_setup(tmp_path) as w:
         finish_all, clients = w.agent.finish_all, list[socket.socket]()
 
         def connect_behind_it() -> None:
@@ -80,7 +80,7 @@
             client.send(post(request_class) if request_class else HEALTH_CHECK)
 
         w.agent.finish_all = connect_behind_it  # type: ignore[method-assign]
-        await w.server.shut_down(NOW)
+        await w.listener.shut_down(NOW)
         assert (await read_all(clients[0])).startswith(b"HTTP/1.1 503 ")
         assert w.nothing_sent()
         clients[0].close()
@@ -91,16 +91,16 @@
 
 @async_test()
 async def test_an_answer_is_not_reset_away_by_what_its_client_sent_meanwhile(tmp_path: Path) -> None:
-    async with world(tmp_path) as w:
+    async with loopback_setup(tmp_path) as w:
         client = await BlockingClient(w).accepted()
         client.socket.send(post())
-        request = await w.request()
-        w.server.is_draining = True
+        request = await w.next_request()
+        w.listener.is_draining = True
         body = b"x" * 3_000  # one piece: it is read ahead of what the client sends
-        request.peer.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
-        request.peer.writer.write(body)
+        request.connection.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
+        request.connection.writer.write(body)
         readable = select.poll()
-        (connection,) = w.server.connections
+        (connection,) = w.listener.connections
         client.socket.send(b"\r\n" + post(Request_Id="9b99"))
         assert connection.transport is not None
         readable.register(connection.transport.get_extra_info("socket").fileno(), select.POLLIN)
@@ -109,20 +109,20 @@
         assert answer.startswith(b"HTTP/1.1 200 ")
         assert body in answer
         client.socket.close()
-        while w.server.connections:
+        while w.listener.connections:
             await asyncio.sleep(0)
         assert w.nothing_sent()
 
 
 @async_test()
 async def test_bytes_behind_a_request_whose_answer_is_the_last_are_no_error(tmp_path: Path) -> None:
-    async with world(tmp_path) as w:
+    async with loopback_setup(tmp_path) as w:
         client = await BlockingClient(w).accepted()
         client.socket.send(post())
-        request = await w.request()
-        w.server.is_draining = True
+        request = await w.next_request()
+        w.listener.is_draining = True
         client.socket.send(post(Request_Id="9b99"))
-        (connection,) = w.server.connections
+        (connection,) = w.listener.connections
         while not connection.discards_input:
             await asyncio.sleep(0)
         await request.answer()
@@ -136,13 +136,13 @@
 async def test_an_unfinished_request_is_rejected_if_nothing_was_sent_and_failed_if_it_was(
     tmp_path: Path,
 ) -> None:
-    async with world(tmp_path) as w:
-        sent = await w.ask(post(UNSAFE))
-        await w.request()
+    async with loopback_setup(tmp_path) as w:
+        sent = await w.send_request(post(NOT_IDEMPOTENT))
+        await w.next_request()
         w.agent.on_endpoint_list(EndpointList(42, True, ()))
-        waiting = await w.ask(post(UNSAFE, Request_Id="9b20"))
+        waiting = await w.send_request(post(NOT_IDEMPOTENT, Request_Id="9b20"))
         await wait_for_accepted(w, 2)
-        stop = asyncio.create_task(w.server.shut_down(ShutdownTimes(0.0, 0.0, 0.05)))
+        stop = asyncio.create_task(w.listener.shut_down(ShutdownTimes(0.0, 0.0, 0.05)))
         assert (await sent.read()).status == 500
         assert (await waiting.read()).status == 503
         sent.close()
@@ -219,7 +219,7 @@
         async with agent_process(tmp_path, document) as agent:
             await discovery.requests.get()  # and it is never answered
             client = await agent.client()
-            await client.write(post(UNSAFE))
+            await client.write(post(NOT_IDEMPOTENT))
             agent.process.send_signal(signal.SIGTERM)
             assert (await client.read()).status == 503
             client.close()
@@ -236,13 +236,13 @@
             profile["aimUs"], profile["deadlineUs"] = 300_000, 400_000
         async with agent_process(tmp_path, document) as agent:
             slow_client = await agent.client()
-            slow_request = post(UNSAFE, Request_Id="half", timeout_ms="400")
+            slow_request = post(NOT_IDEMPOTENT, Request_Id="half", timeout_ms="400")
             await slow_client.write(slow_request[:50])
             agent.process.send_signal(signal.SIGTERM)
-            clients: list[Conversation] = [slow_client]
+            clients: list[StreamConnection] = [slow_client]
             for number in range(8):  # up to 0.4 s after the signal
                 client = await agent.client()
-                await client.write(post(UNSAFE, Request_Id=f"9b{number}", timeout_ms="400"))
+                await client.write(post(NOT_IDEMPOTENT, Request_Id=f"9b{number}", timeout_ms="400"))
                 clients.append(client)
                 await asyncio.sleep(0.04)
             await slow_client.write(slow_request[50:])
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -18,7 +18,7 @@
 from nickelmount.balancer.events import Outcome
 from nickelmount.protocol.load_report import parse_load_report
 from tests.async_test import async_test
-from tests.loopback import Message, Peer, endpoint_list, member, running_peer
+from tests.loopback import Message, ScriptedServer, endpoint_list, member, running_server
 
 LOAD_REPORT_FIELDS = ("inflight", "queue", "util")
 LONG_US = 600_000_000  # no limit that a test reaches: longer than TEST_TIMEOUT_S
@@ -71,7 +71,7 @@
     return start_exchange(upstream, request, timeout_us, endpoint_id)[1]
 
 
-async def serve_one(upstream: Upstream, peer: Peer) -> Message:
+async def serve_one(upstream: Upstream, peer: ScriptedServer) -> Message:
     """One exchange that succeeds; its connection may be reused."""
     result = start(upstream)
     message = await peer.requests.get()
@@ -84,21 +84,21 @@
 
 
 async def truncate_response(message: Message) -> None:
-    await message.peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
-    message.peer.close()
+    await message.connection.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
+    message.connection.close()
 
 
 async def reset(message: Message) -> None:
-    message.peer.reset()
+    message.connection.reset()
 
 
 async def close(message: Message) -> None:
-    message.peer.close()
+    message.connection.close()
 
 
 def write_raw(data: bytes) -> Callable[[Message], Awaitable[None]]:
     """The connection stays open after these bytes."""
-    return lambda message: message.peer.write(data)
+    return lambda message: message.connection.write(data)
 
 
 def respond(status: int, **headers: str) -> Callable[[Message], Awaitable[None]]:
@@ -140,7 +140,7 @@
 async def test_outcome_after_the_last_byte_is_written(
     endpoint_does: Callable[[Message], Awaitable[None]], outcome: Outcome
 ) -> None:
-    async with running_peer() as peer:
+    async with running_server() as peer:
         result = start(upstream_of(peer.port))
         await endpoint_does(await peer.requests.get())
         assert (await result).outcome is outcome
@@ -149,7 +149,7 @@
 @async_test()
 async def test_a_response_of_400_kb_is_served_complete() -> None:
     """Responses above 64 KiB were once treated as unusable, and their requests were rejected."""
-    async with running_peer() as peer:
+    async with running_server() as peer:
         result_future = start(upstream_of(peer.port))
         body = bytes(range(256)) * 1600
         await (await peer.requests.get()).answer(200, body)
@@ -176,21 +176,21 @@
     Unbounded, the agent would hold all of it in memory. The exchange ends as an error, and the connection is
     closed and not reused.
     """
-    async with asyncio.timeout(20), running_peer() as peer:
+    async with asyncio.timeout(20), running_server() as peer:
         upstream = upstream_of(peer.port)
         result = start(upstream)
         message = await peer.requests.get()
-        await message.peer.write(OK + response_start)
+        await message.connection.write(OK + response_start)
         sent_bytes = 0
         with contextlib.suppress(ConnectionError):
             while not result.done() and sent_bytes < 16_000_000:
-                await message.peer.write(b"x" * 65536)
+                await message.connection.write(b"x" * 65536)
                 sent_bytes += 65536
         assert (await result).outcome is Outcome.ERROR
         assert sent_bytes < 8_000_000
-        await message.peer.ended()
+        await message.connection.wait_for_close()
         await serve_one(upstream, peer)
-        assert peer.connections == 2
+        assert peer.connection_count == 2
 
 
 @async_test()
@@ -200,21 +200,21 @@
     Were the first connection closed only later, both endpoints would work on the request at once. When the
     end is reported, the kernel of the first endpoint must know of the close.
     """
-    async with running_peer() as peer:
+    async with running_server() as peer:
         upstream = upstream_of(peer.port)
         result_future: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
         messages: list[Message] = []
         was_closed_at_end: list[bool] = []
 
         def on_end(result: ExchangeResult) -> None:
-            was_closed_at_end.append(messages[0].peer.told_of_close())
+            was_closed_at_end.append(messages[0].connection.peer_has_closed())
             result_future.set_result(result)
 
         upstream.start_attempt("s", REQUEST, 1_000_000, on_end)
         messages.append(await peer.requests.get())
         assert (await result_future).outcome is Outcome.TIMEOUT
         assert was_closed_at_end == [True]
-        await messages[0].peer.ended()
+        await messages[0].connection.wait_for_close()
 
 
 # Outcomes before that
@@ -286,7 +286,7 @@
 
 @async_test()
 async def test_a_write_limit_does_not_end_what_is_written() -> None:
-    async with running_peer() as peer:
+    async with running_server() as peer:
         exchange, result = start_exchange(upstream_of(peer.port))
         message = await peer.requests.get()
         exchange.write_within(1)
@@ -297,7 +297,7 @@
 
 @async_test()
 async def test_nothing_is_sent_to_an_endpoint_that_drains_while_the_connection_is_established() -> None:
-    async with running_peer() as peer:
+    async with running_server() as peer:
         upstream = upstream_of(peer.port)
         result = start(upstream)
         upstream.apply(endpoint_list(member("s", peer.port, "DRAINING")))
@@ -314,7 +314,7 @@
     async def fail_to_connect(*_: object) -> None:
         raise OSError(errno.EMFILE, "too many open files")
 
-    async with running_peer() as peer:
+    async with running_server() as peer:
         upstream = upstream_of(peer.port)
         monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", fail_to_connect)
         assert (await start(upstream)).outcome is Outcome.NOT_SENT
@@ -330,7 +330,7 @@
     def send(self: Connection, data: bytes) -> None:
         raise ValueError("no such header")
 
-    async with running_peer() as peer:
+    async with running_server() as peer:
         upstream = upstream_of(peer.port)
         if has_idle_connection:
             await serve_one(upstream, peer)
@@ -348,13 +348,13 @@
 
     Sent on this connection, the request would be lost, and it would not be known whether it has run.
     """
-    async with running_peer() as peer:
+    async with running_server() as peer:
         upstream = upstream_of(peer.port)
         message = await serve_one(upstream, peer)
-        message.peer.shut_down_socket()
+        message.connection.shut_down_socket()
         # No cycle of the event loop in between: the close is in the kernel, and has not been read.
         await serve_one(upstream, peer)
-        assert peer.connections == 2
+        assert peer.connection_count == 2
 
 
 @pytest.mark.parametrize("excess", [OK + b"Content-Length: 5\r\n\r\nother", b"noise"])
@@ -367,20 +367,20 @@
 
     Were the connection reused, the next request would be answered with those bytes.
     """
-    async with running_peer() as peer:
+    async with running_server() as peer:
         upstream = upstream_of(peer.port)
         result = start(upstream)
         message = await peer.requests.get()
         response = OK + b"Content-Length: 4\r\n\r\ndone"
-        await message.peer.write(response if is_separate else response + excess)
+        await message.connection.write(response if is_separate else response + excess)
         assert (await result).body == b"done"
         if is_separate:  # the connection is idle by now
-            await message.peer.write(excess)
-        await message.peer.ended()
+            await message.connection.write(excess)
+        await message.connection.wait_for_close()
         result = start(upstream)
         await (await peer.requests.get()).answer(200, b"mine")
         assert (await result).body == b"mine"
-        assert peer.connections == 2
+        assert peer.connection_count == 2
 
 
 @async_test()
@@ -389,16 +389,16 @@
 
     On the same connection, the duplicate would be read as the response to that request.
     """
-    async with running_peer() as peer:
+    async with running_server() as peer:
         upstream = upstream_of(peer.port, settle_time_us=60_000_000)
         first = await serve_one(upstream, peer)
         result = start(upstream)
         message = await peer.requests.get()
-        await first.peer.write(OK + b"Content-Length: 4\r\n\r\ncopy")
-        await first.peer.ended()
+        await first.connection.write(OK + b"Content-Length: 4\r\n\r\ncopy")
+        await first.connection.wait_for_close()
         await message.answer(200, b"mine")
         assert (await result).body == b"mine"
-        assert peer.connections == 2
+        assert peer.connection_count == 2
 
 
 @async_test()
@@ -408,7 +408,7 @@
     The time for which the agent lets a connection settle by default is longer than that. Once it is over, the
     connection of the second request is reused.
     """
-    async with asyncio.timeout(20), running_peer() as peer:
+    async with asyncio.timeout(20), running_server() as peer:
         clock = SteppedClock()
         pool = ConnectionPool(clock, 10_000_000, 60_000_000, 9)
         upstream = Upstream(clock, LOAD_REPORT_FIELDS, pool)
@@ -417,22 +417,22 @@
         clock.now_us += 6_000
         result = start(upstream)
         message = await peer.requests.get()
-        await first.peer.write(OK + b"Content-Length: 4\r\n\r\ncopy")
-        await first.peer.ended()
+        await first.connection.write(OK + b"Content-Length: 4\r\n\r\ncopy")
+        await first.connection.wait_for_close()
         await message.answer(200, b"mine")
         assert (await result).body == b"mine"
-        assert peer.connections == 2
+        assert peer.connection_count == 2
         clock.now_us += 40_000
         await serve_one(upstream, peer)
-        assert peer.connections == 2
+        assert peer.connection_count == 2
 
 
 @async_test()
 async def test_an_idle_connection_is_closed_before_the_endpoint_does_it() -> None:
-    async with running_peer() as peer:
+    async with running_server() as peer:
         upstream = upstream_of(peer.port, idle_timeout_us=50_000)
         message = await serve_one(upstream, peer)
-        await message.peer.ended()
+        await message.connection.wait_for_close()
 
 
 @pytest.mark.parametrize(
@@ -442,11 +442,11 @@
 async def test_an_endpoint_that_drains_or_is_removed_or_restarts_loses_its_idle_connections(
     phase: str, up_since_ms: int
 ) -> None:
-    async with running_peer() as peer:
+    async with running_server() as peer:
         upstream = upstream_of(peer.port)
         message = await serve_one(upstream, peer)
         upstream.apply(endpoint_list(member("s", peer.port, phase, up_since_ms)))
-        await message.peer.ended()
+        await message.connection.wait_for_close()
 
 
 # The limit on connections
@@ -455,23 +455,23 @@
 @async_test()
 async def test_connections_that_are_being_opened_count_against_the_limit() -> None:
     """Many requests arrive at once: were only established connections counted, all would open one."""
-    async with running_peer() as peer:
+    async with running_server() as peer:
         upstream = upstream_of(peer.port, max_connections=1)
         results = [start(upstream) for _ in range(3)]
         assert [(await result).outcome for result in results[1:]] == [Outcome.NOT_SENT] * 2
         await (await peer.requests.get()).answer()
         assert (await results[0]).outcome is Outcome.OK
-        assert peer.connections == 1
+        assert peer.connection_count == 1
 
 
 @async_test()
 async def test_the_connection_idle_for_longest_is_closed_for_a_new_one() -> None:
-    async with running_peer() as peer, running_peer() as other:
+    async with running_server() as peer, running_server() as other:
         upstream = upstream_of(peer.port, max_connections=1)
         message = await serve_one(upstream, peer)
         upstream.apply(endpoint_list(member("t", other.port)))
         result = start(upstream, endpoint_id="t")
-        await message.peer.ended()
+        await message.connection.wait_for_close()
         await (await other.requests.get()).answer()
         assert (await result).outcome is Outcome.OK
 
@@ -500,7 +500,7 @@
 
 @async_test()
 async def test_load_reports_come_with_any_response() -> None:
-    async with running_peer() as peer:
+    async with running_server() as peer:
         result = start(upstream_of(peer.port))
         message = await peer.requests.get()
         await message.answer(500, b"", Server_Load="inflight=7,queue=2,util=0.61")
