--- a/nickelmount/agent/discovery_client.py
+++ b/nickelmount/agent/discovery_client.py
@@ -52,37 +52,37 @@
         revision: int | None,
         connect_timeout_s: float,
         long_poll_ms: int = SHARED_LONG_POLL_MS,
-        wait_random: Random | None = None,
+        jitter_random: Random | None = None,
     ) -> None:
         """`revision` is that of the list which is held at the start; None: no list is held.
 
-        `wait_random` is given where all agents share discovery; each long poll then draws its wait from it.
+        `jitter_random` is given where all agents share discovery; each long poll then draws its wait from it.
         A change ends the calls of all agents at once. With equal waits, all of these watches would fall
         silent together, and all agents would call again in the same moment, more than discovery can answer
         in time.
         """
         self._address, self._parser = address, parser
         self._connect_timeout_s, self._long_poll_ms = connect_timeout_s, long_poll_ms
-        self._wait_random = wait_random
+        self._jitter_random = jitter_random
         self._revision = revision  # None: the next call asks for the complete list
         # The next call does not wait for a change: what was missed arrives at once, and silence shows soon.
         self._poll_immediately = False
-        self._watching: asyncio.Task[None] | None = None
-        self._fetches: set[asyncio.Task[None]] = set()
+        self._watch_task: asyncio.Task[None] | None = None
+        self._fetch_tasks: set[asyncio.Task[None]] = set()
 
     def watch(self, on_list: ListCallback) -> None:
         """Report each list from now on; None, once, when the watch has failed.
 
         Does nothing while a watch runs.
         """
-        if self._watching is None or self._watching.done():
-            self._watching = asyncio.get_running_loop().create_task(self._watch(on_list))
+        if self._watch_task is None or self._watch_task.done():
+            self._watch_task = asyncio.get_running_loop().create_task(self._watch(on_list))
 
     def fetch(self, on_list: ListCallback) -> None:
         """Report the complete list once, or None if the call has failed."""
         task = asyncio.get_running_loop().create_task(self._fetch(on_list))
-        self._fetches.add(task)
-        task.add_done_callback(self._fetches.discard)
+        self._fetch_tasks.add(task)
+        task.add_done_callback(self._fetch_tasks.discard)
 
     def change_address(self, address: Address, on_list: ListCallback) -> None:
         """Watch at another address from now on, beginning with the complete list.
@@ -92,10 +92,10 @@
         """
         if address == self._address:
             return
-        for task in (self._watching, *self._fetches):
+        for task in (self._watch_task, *self._fetch_tasks):
             if task is not None:
                 task.cancel()
-        self._address, self._revision, self._watching = address, None, None
+        self._address, self._revision, self._watch_task = address, None, None
         self.watch(on_list)
 
     # The watch
@@ -114,8 +114,8 @@
                 # next call were a long poll, that would be found out after its wait, by when the changes
                 # that it missed have long counted as notified. A local discovery needs no such care, as its
                 # long polls are short.
-                self._poll_immediately = self._wait_random is not None
-        self._watching = None  # before the report: the balancer may answer it with the next watch
+                self._poll_immediately = self._jitter_random is not None
+        self._watch_task = None  # before the report: the balancer may answer it with the next watch
         on_list(None)
 
     async def _watch_step(self, session: DiscoverySession, on_list: ListCallback) -> None:
@@ -162,9 +162,9 @@
 
     def _draw_wait_ms(self) -> int:
         """The wait of the next long poll: at a shared discovery, drawn from the upper half of the range."""
-        if self._wait_random is None:
+        if self._jitter_random is None:
             return self._long_poll_ms
-        return int(self._long_poll_ms * (0.5 + 0.5 * self._wait_random.random()))
+        return int(self._long_poll_ms * (0.5 + 0.5 * self._jitter_random.random()))
 
     def _apply_watched(self, endpoint_list: EndpointList) -> None:
         try:
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -81,8 +81,8 @@
     def close(self) -> None:
         """Cancel the watch, and open no other."""
         self._is_closed = True
-        if self._watching is not None:
-            self._watching.cancel()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
 
 
 def _build_agent(
