--- a/nickelmount/agent/connection.py
+++ b/nickelmount/agent/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection: what is common to those with clients, with endpoints and with discovery."""
+"""The base class of TCP connections with clients, endpoints and discovery."""
 
 from __future__ import annotations
 
@@ -11,23 +11,25 @@
 log = logging.getLogger(__name__)
 
 RECEIVE_BUFFER_BYTES = 256 * 1024
-# Shared by all connections: what was read is copied and handled before the event loop reads again.
+# All connections can share one buffer, because the bytes of each read are copied and handled before the event
+# loop reads again.
 _RECEIVE_BUFFER = memoryview(bytearray(RECEIVE_BUFFER_BYTES))
 
 
 class Connection(asyncio.BufferedProtocol):
-    """Hands received bytes to a subclass, and knows whether all that was sent has been written.
+    """A TCP connection that passes received bytes to its subclass and tracks whether sent bytes are written.
 
     A subclass overrides on_data, on_handler_error and on_peer_closed.
     """
 
     def __init__(self) -> None:
-        self.transport: asyncio.Transport | None = None  # until the connection is established
-        self.all_written = True  # the kernel has taken every byte that was sent
-        self.closed = False  # nothing more can be sent: it was lost, or aborted on this side
-        self.discards_input = False  # received bytes are dropped unread
+        self.transport: asyncio.Transport | None = None  # None until the connection is established.
+        self.all_written = True  # Whether the kernel has taken every byte that was sent.
+        # Whether nothing more can be sent, because the connection was lost or was aborted on this side.
+        self.closed = False
+        self.discards_input = False  # Whether received bytes are dropped without being handled.
 
-    # Overridden by subclasses
+    # Methods that subclasses override
 
     def on_data(self, data: bytes) -> None:
         """Handle bytes from the peer."""
@@ -36,113 +38,114 @@
         """Clean up after on_data has raised."""
 
     def on_peer_closed(self) -> None:
-        """The peer has closed, half-closed or reset the connection. May be called twice."""
+        """Handle a close, a half-close or a reset by the peer. May be called twice."""
 
-    # Called by asyncio
+    # Methods that asyncio calls
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, with a write buffer that reports when it is empty."""
+        """Store the transport, and have it call resume_writing when its write buffer is empty."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # resume_writing then means that all is written
+        # With a high-water mark of 0, asyncio calls resume_writing only when every byte has been written.
+        transport.set_write_buffer_limits(high=0)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return the memory that the event loop reads into."""
+        """Return the buffer that the event loop reads into."""
         return _RECEIVE_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Hand on what the event loop has read."""
+        """Pass the bytes that the event loop has read to on_data."""
         if self.discards_input:
             return
         try:
             self.on_data(bytes(_RECEIVE_BUFFER[:nbytes]))
         except Exception:
-            # Catches all: asyncio would close the transport on any error that is raised here, the subclass
-            # would see that as a close by the peer, and a fault of this program would look like one of the
-            # network.
-            log.exception("handling of received bytes failed")
+            # Every exception is caught, because asyncio would close the transport if one left this method.
+            # The subclass would take that for a close by the peer, so that a bug in this program would look
+            # like a network failure.
+            log.exception("failed to handle received bytes")
             self.discards_input = True
             self.on_handler_error()
 
     def eof_received(self) -> None:
-        """Treat a half-close as a close; returning None lets asyncio close the transport."""
+        """Treat a half-close as a close; asyncio closes the transport because this returns None."""
         self.on_peer_closed()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the connection, whichever side it came from."""
+        """Report that the connection has ended, whichever side ended it."""
         self.closed = True
         self.on_peer_closed()
 
     def resume_writing(self) -> None:
-        """Note that the write buffer is empty."""
+        """Record that the write buffer is empty."""
         self.all_written = True
 
-    # Used by subclasses and by the owners of a connection
+    # Methods for subclasses and for the owners of a connection
 
     def send(self, data: bytes) -> None:
         """Write all of `data` with one call to the transport."""
         assert self.transport is not None
         self.transport.write(data)
-        # A write that fails empties the buffer as well. The bytes then look written although the peer never
-        # got them; the failed transport is closing, which tells the two apart.
+        # A failed write empties the buffer too, although the peer never got the bytes. The transport is
+        # closing in that case, so both conditions are checked.
         self.all_written = not self.transport.is_closing() and self.transport.get_write_buffer_size() == 0
 
     def has_nothing_to_read(self) -> bool:
-        """Whether the connection is open and its socket has nothing to read, not even the peer's close.
+        """Return whether the connection is open and its socket holds neither bytes nor a close by the peer.
 
-        The event loop reads a socket only in its next cycle. A close or a stray byte that arrives before
-        that is visible in the kernel only, so the kernel is polled.
+        The event loop reads a socket only in its next iteration. Until then, only the kernel knows of a close
+        or of an unexpected byte that has arrived, so this polls the kernel.
         """
         if self.transport is None or self.transport.is_closing():
             return False
         return not self._poll_socket(select.POLLIN | select.POLLHUP)
 
     def peer_has_closed(self) -> bool:
-        """Whether the peer has closed, half-closed or reset the connection, as far as the kernel knows.
+        """Return whether the kernel knows that the peer has closed, half-closed or reset the connection.
 
-        The event loop finds a close only once it has read all bytes that precede it. The kernel is polled
-        so that a client which has disconnected is noticed before anything is sent for it. A reset is
-        reported as POLLERR and POLLHUP, which poll returns without being asked for them.
+        The event loop notices a close only after it has read all bytes that precede it. This polls the kernel
+        instead, so that a client that has disconnected is noticed before a request is sent on its behalf. The
+        kernel reports a reset as POLLERR and POLLHUP, which poll returns even if they are not requested.
         """
         if self.closed or self.transport is None or self.transport.is_closing():
             return True
         return self._poll_socket(select.POLLRDHUP)
 
     def _poll_socket(self, events: int) -> bool:
-        """Whether the kernel reports any of these events, without waiting."""
+        """Return whether the kernel reports any of these poll events for the socket now, without waiting."""
         assert self.transport is not None
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), events)
         return bool(poll.poll(0))
 
     def finish_sending(self) -> None:
-        """Half-close: send nothing more, and drop what still arrives.
+        """Half-close the connection: send nothing more, and drop the bytes that still arrive.
 
-        If this side closed a socket that has unread bytes, the kernel would send a reset, and the peer's
-        kernel would drop the last answer where the peer has not read it yet: the client would see a reset
-        in place of its answer. After a half-close the event loop goes on reading, so nothing stays unread.
+        If this side closed a socket that holds unread bytes, the kernel would send a reset. The peer's kernel
+        would then drop an answer that the peer has not read yet, and a client would see a reset instead of
+        its answer. After a half-close the event loop continues to read, so no bytes stay unread.
         """
         assert self.transport is not None
         self.discards_input = True
-        with suppress(OSError):  # the peer may have reset the connection already
+        with suppress(OSError):  # The peer may have reset the connection already.
             self.transport.write_eof()
 
     def close(self) -> None:
-        """Close once everything is written."""
+        """Close the connection after all sent bytes have been written."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once; the peer sees it before this returns.
+        """Close the connection immediately; the close is sent to the peer before this returns.
 
         transport.abort() closes the socket only in the next iteration of the event loop. By then the next
-        attempt of the same request may have been sent, and two endpoints would hold it at once, which is
-        wrong where hedged requests are not allowed. The socket is shut down first, which takes effect
-        immediately.
+        attempt of the same request may have been sent, so that two endpoints would hold the request at the
+        same time, which must not happen if hedged requests are not allowed. Therefore the socket is shut down
+        first, which takes effect immediately.
         """
         self.discards_input = self.closed = True
         if self.transport is None or self.transport.is_closing():
             return
-        with suppress(OSError):  # the peer may have reset the connection already
+        with suppress(OSError):  # The peer may have reset the connection already.
             self.transport.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
         self.transport.abort()
--- a/nickelmount/agent/connection_pool.py
+++ b/nickelmount/agent/connection_pool.py
@@ -1,7 +1,8 @@
-"""Connections to endpoints: opened up to a limit, and reused while they can be trusted.
+"""The pool of connections to endpoints, which limits their number and reuses those that are safe to reuse.
 
-A connection has one owner at a time: an exchange (`PooledConnection.owner`) from `acquire` or `open` until
-`release` or `discard`, and the pool while it is idle. Every connection ends in `ConnectionPool.discard`.
+A connection has one owner at a time. From `acquire` or `open` until `release` or `discard` the owner is an
+exchange (`PooledConnection.owner`); while the connection is idle, it is the pool. Every connection is closed
+by `ConnectionPool.discard`.
 """
 
 from __future__ import annotations
@@ -18,67 +19,71 @@
 from .connection import Connection
 from .http import HttpMessage, HttpReader
 
-# An idle connection is closed here after this share of the endpoints' idle timeout. If the endpoint closed it
-# first, a request could cross that close, and it would not be known whether the request has run.
+# The agent closes an idle connection after this share of the endpoints' idle timeout. If the endpoint closed
+# it first, a request could be sent while that close is on its way, and it would be unknown whether the
+# request has run.
 IDLE_TIMEOUT_SHARE = 0.7
-# An endpoint may send bytes that belong to no response: directly behind one, or as a duplicate of it some
-# milliseconds later. The next request on that connection would be answered with them. A connection is not
-# reused before this time is over; bytes that arrive until then find it idle, and it is closed.
+# How long a connection stays idle before it may be reused. An endpoint may send bytes that belong to no
+# response, either directly after a response or, as a duplicate of it, some milliseconds later. On a
+# connection that was reused at once, those bytes would be read as the response to the next request. If they
+# arrive while the connection is idle, it is closed.
 SETTLE_TIME_US = 10_000
-MAX_RESPONSE_BODY_BYTES = 1024 * 1024  # of one body, which is held in memory as a whole
+MAX_RESPONSE_BODY_BYTES = 1024 * 1024  # The limit for one body, which is held in memory as a whole.
 
 
 class ConnectionOwner(Protocol):
-    """The exchange that a connection belongs to."""
+    """The exchange that owns a connection."""
 
     def on_response(self, response: HttpMessage) -> None:
-        """A complete response has arrived."""
+        """Handle a complete response."""
 
     def on_unusable_response(self) -> None:
-        """What arrives is no response that can be used; the connection is still open."""
+        """Handle received bytes that are not a usable response; the connection is still open."""
 
     def on_peer_closed(self) -> None:
-        """The endpoint has closed or reset the connection. May be called twice."""
+        """Handle a close or a reset by the endpoint. May be called twice."""
 
 
 class PooledConnection(Connection):
-    """A connection to one endpoint; idle, or owned by one exchange."""
+    """A connection to one endpoint, either idle or owned by one exchange."""
 
     def __init__(self, pool: ConnectionPool, listed: ListedEndpoint) -> None:
         super().__init__()
-        self.listed = listed  # the endpoint as the list had it when the connection was opened
-        self.owner: ConnectionOwner | None = None  # None: idle
-        self.in_sync = True  # nothing but the awaited response has arrived, and the endpoint keeps it open
+        self.listed = listed  # The endpoint's list entry at the time the connection was opened.
+        self.owner: ConnectionOwner | None = None  # None if the connection is idle.
+        # Whether the next response on this connection would belong to the next request: nothing but the
+        # awaited response has arrived, and the endpoint keeps the connection open.
+        self.is_in_sync = True
         self.idle_since_us = 0
         self.idle_timer: asyncio.TimerHandle | None = None
         self._pool = pool
         self._reader = HttpReader(HttpResponseParser, MAX_RESPONSE_BODY_BYTES)
 
     def on_data(self, data: bytes) -> None:
-        """Hand the response to the owner; close the connection if there is none."""
+        """Pass a complete response to the owner; discard the connection if it has no owner."""
         if self.owner is None:
-            # Nothing was asked for, so these bytes must not become the answer to the next request.
+            # No request is in flight, and these bytes must not be read as the response to the next one.
             return self._pool.discard(self)
         responses = self._reader.feed(data)
         if responses:
             has_excess_bytes = (
                 len(responses) > 1 or self._reader.incomplete is not None or self._reader.error is not None
             )
-            self.in_sync = responses[0].keep_alive and not has_excess_bytes
+            self.is_in_sync = responses[0].keep_alive and not has_excess_bytes
             self.owner.on_response(responses[0])
         elif self._reader.error is not None:
-            self.in_sync = False
+            self.is_in_sync = False
             self.owner.on_unusable_response()
 
     def on_handler_error(self) -> None:
-        """End the exchange, and never reuse the connection."""
-        self.in_sync = False
+        """End the exchange and discard the connection."""
+        self.is_in_sync = False
         if self.owner is not None:
             self.owner.on_unusable_response()
         self._pool.discard(self)
 
     def on_peer_closed(self) -> None:
-        """Tell the owner; an idle connection is discarded."""
+        """Report the close to the owner; discard the connection if it is idle."""
         self.closed = True
         if self.owner is not None:
             self.owner.on_peer_closed()
@@ -86,9 +91,9 @@
             self._pool.discard(self)
 
     def is_quiet(self) -> bool:
-        """Whether an idle connection is open and has nothing to read, as far as the kernel knows.
+        """Return whether this idle connection is open and, according to the kernel, has nothing to read.
 
-        One with something to read was closed by the endpoint, or has bytes that nobody asked for.
+        If there is something to read, it is a close by the endpoint or bytes that belong to no request.
         """
         return not self.closed and self.has_nothing_to_read()
 
@@ -96,8 +101,9 @@
 class ConnectionPool:
     """The connections to all endpoints.
 
-    At most `max_connections` are open or being opened at once, so that file descriptors remain for the
-    connections of clients. An exchange opens one in three steps: ensure_capacity, track_opening, open.
+    At most `max_connections` are open or being opened at the same time, so that file descriptors remain for
+    the connections of clients. An exchange opens a connection in three steps: `ensure_capacity`,
+    `track_opening` and `open`.
     """
 
     def __init__(
@@ -113,24 +119,28 @@
         self._connect_timeout_s = connect_timeout_us / 1e6
         self._max_idle_us = int(idle_timeout_us * IDLE_TIMEOUT_SHARE)
         self._settle_time_us = settle_time_us
-        self._idle: dict[EndpointId, list[PooledConnection]] = {}  # each list in order of idle_since_us
-        self._open: set[PooledConnection] = set()  # idle ones and those with an owner
-        self._opening: set[asyncio.Task[None]] = set()  # each is about to open one connection
+        # Each endpoint's idle connections are in order of idle_since_us.
+        self._idle: dict[EndpointId, list[PooledConnection]] = {}
+        self._open: set[PooledConnection] = set()  # Both idle connections and those with an owner.
+        self._opening: set[asyncio.Task[None]] = set()  # Each of these tasks opens one connection.
 
     @property
     def open_connections(self) -> frozenset[PooledConnection]:
-        """All established connections, idle or not."""
+        """All established connections, whether idle or owned by an exchange."""
         return frozenset(self._open)
 
     @property
     def opening_count(self) -> int:
-        """How many connections are being opened."""
+        """The number of connections that are being opened."""
         return len(self._opening)
 
     # Opening
 
     def ensure_capacity(self) -> bool:
-        """Whether one more connection may be opened; closes the one idle for longest if that makes it so."""
+        """Return whether one more connection may be opened.
+
+        At the limit, close the connection that has been idle for the longest time to make room for a new one.
+        """
         if len(self._open) + len(self._opening) < self.max_connections:
             return True
         longest_idle = min(
@@ -144,12 +154,15 @@
         return True
 
     def track_opening(self, task: asyncio.Task[None]) -> None:
-        """Count a task that is about to open a connection against the limit until it has ended."""
+        """Count a task that opens a connection against the limit until the task has ended."""
         self._opening.add(task)
         task.add_done_callback(self._opening.discard)
 
     async def open(self, listed: ListedEndpoint) -> PooledConnection:
-        """Open a connection; the caller owns it. Raises OSError, of which TimeoutError is one."""
+        """Open a connection that the caller owns.
+
+        Raises OSError if the connection fails, and its subclass TimeoutError if it takes too long.
+        """
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(self._connect_timeout_s):
             _, connection = await loop.create_connection(
@@ -161,10 +174,10 @@
     # Reuse
 
     def acquire(self, listed: ListedEndpoint) -> PooledConnection | None:
-        """Hand out the most recently used idle connection that can be trusted, if there is one.
+        """Return the most recently used idle connection that is safe to reuse, or None if there is none.
 
-        One that is not settled yet stays idle. One that leads to another process than the list now names,
-        or is not quiet, is discarded.
+        A connection whose settle time is not over stays idle. A connection that leads to a process other than
+        the one that the list now names is discarded, and so is one that is not quiet.
         """
         idle = self._idle.get(listed.endpoint.id)
         if not idle:
@@ -188,16 +201,17 @@
     def release(
         self, connection: PooledConnection, is_complete: bool, listed_now: ListedEndpoint | None
     ) -> None:
-        """Take a connection back from its owner, to be reused or discarded.
+        """Take a connection back from its owner and keep it for reuse, or discard it.
 
-        It is reused only if its exchange `is_complete` (the response has arrived, or nothing was sent),
-        everything was written, nothing else has arrived, and the list (`listed_now`) still names the
-        process that it leads to.
+        The connection is kept only if its exchange is complete, which means that the response has arrived or
+        that nothing was sent. In addition, everything must have been written, nothing but the response may
+        have arrived, and the list's present entry `listed_now` must still name the process that the
+        connection leads to.
         """
         connection.owner = None
         is_reusable = (
             is_complete
-            and connection.in_sync
+            and connection.is_in_sync
             and not connection.closed
             and connection.all_written
             and connection.listed.same_process(listed_now)
@@ -213,12 +227,12 @@
     # Closing
 
     def close_idle(self, endpoint_id: EndpointId) -> None:
-        """Close the idle connections to one endpoint."""
+        """Close all idle connections to one endpoint."""
         for connection in self._idle.pop(endpoint_id, []):
             self.discard(connection)
 
     def discard(self, connection: PooledConnection) -> None:
-        """Close a connection at once and forget it. Harmless if that has happened before."""
+        """Close a connection immediately and remove it from the pool; does nothing to a discarded one."""
         if connection.idle_timer is not None:
             connection.idle_timer.cancel()
         endpoint_id = connection.listed.endpoint.id
--- a/nickelmount/agent/upstream.py
+++ b/nickelmount/agent/upstream.py
@@ -1,6 +1,6 @@
-"""The endpoints that the agent knows, and the start of exchanges with them.
+"""The agent's table of listed endpoints, and the start of attempts and probes.
 
-The life of an exchange is in upstream_exchange, its connections are in connection_pool.
+The module upstream_exchange implements a single attempt or probe, and connection_pool its connections.
 """
 
 from __future__ import annotations
@@ -19,47 +19,48 @@
 
 log = logging.getLogger(__name__)
 
-PROBE_TIMEOUT_US = 50_000  # a load known later than this is of no use to the requests that wait for it
+PROBE_TIMEOUT_US = 50_000  # A load report that arrives later is of no use to the requests that wait for it.
 
 
 class Upstream:
-    """The endpoints as they were listed last, with what all exchanges with them share."""
+    """The endpoints of the latest list, and the clock, settings and connections that all exchanges share."""
 
     def __init__(self, clock: Clock, load_report_fields: tuple[str, ...], pool: ConnectionPool) -> None:
         self.clock, self.load_report_fields, self.pool = clock, load_report_fields, pool
-        self._listed: dict[EndpointId, ListedEndpoint] = {}  # but for removed ones
+        self._listed: dict[EndpointId, ListedEndpoint] = {}  # Removed endpoints are not kept.
         probe_path = http_names.LOAD_PATH if load_report_fields else http_names.PING_PATH
         self._probe_request = UpstreamRequest(b"GET", probe_path, [])
 
     @property
     def endpoint_ids(self) -> frozenset[EndpointId]:
-        """The endpoints that are listed now, whatever their status."""
+        """The ids of all endpoints that are listed now, whether ready or draining."""
         return frozenset(self._listed)
 
     def ready_endpoint(self, endpoint_id: EndpointId) -> ListedEndpoint | None:
-        """Return the endpoint as it is listed now; None if it is not listed as ready."""
+        """Return the present list entry of an endpoint, or None if it is not listed as ready."""
         listed = self._listed.get(endpoint_id)
         return listed if listed is not None and listed.endpoint.status is EndpointStatus.READY else None
 
     # The endpoint list
 
     def apply(self, endpoint_list: EndpointList) -> list[Endpoint]:
-        """Take in what discovery says, and return the endpoints that this changes.
+        """Update the table from a complete list or a list of changes, and return the endpoints that changed.
 
-        Of a complete list, too, only what differs is returned, so that it costs the balancer no more than
-        that. An endpoint that a complete list does not name is returned as REMOVED. The idle connections of
-        an endpoint that is no longer ready, or is another process now, are closed.
+        Even for a complete list, only the endpoints that differ are returned, so that the balancer does not
+        have to process the others. An endpoint that a complete list does not name is returned with the status
+        REMOVED. Idle connections to an endpoint are closed if it is no longer ready or is now another
+        process.
         """
         changed: list[Endpoint] = []
         for entry in endpoint_list.entries:
             if self._apply_entry(entry):
                 changed.append(entry.endpoint)
         if endpoint_list.complete:
-            changed += self._remove_unnamed(endpoint_list)
+            changed += self._remove_unlisted(endpoint_list)
         return changed
 
     def _apply_entry(self, entry: ListedEndpoint) -> bool:
-        """Take in one entry; whether it differs from what was listed."""
+        """Update the table from one entry, and return whether the entry differs from the previous one."""
         endpoint = entry.endpoint
         previous = self._listed.get(endpoint.id)
         if previous == entry:
@@ -68,15 +69,16 @@
             self._listed.pop(endpoint.id, None)
         else:
             self._listed[endpoint.id] = entry
-        is_same_ready = endpoint.status is EndpointStatus.READY and entry.same_process(previous)
-        if previous is not None and not is_same_ready:
+        keeps_connections = endpoint.status is EndpointStatus.READY and entry.same_process(previous)
+        if previous is not None and not keeps_connections:
             self.pool.close_idle(endpoint.id)
         return True
 
-    def _remove_unnamed(self, complete_list: EndpointList) -> list[Endpoint]:
-        named = {entry.endpoint.id for entry in complete_list.entries}
+    def _remove_unlisted(self, complete_list: EndpointList) -> list[Endpoint]:
+        """Remove the endpoints that a complete list does not name, and return them as REMOVED."""
+        listed_ids = {entry.endpoint.id for entry in complete_list.entries}
         removed = []
-        for endpoint_id in [known for known in self._listed if known not in named]:
+        for endpoint_id in [known_id for known_id in self._listed if known_id not in listed_ids]:
             endpoint = self._listed.pop(endpoint_id).endpoint
             removed.append(replace(endpoint, status=EndpointStatus.REMOVED))
             self.pool.close_idle(endpoint_id)
@@ -91,16 +93,22 @@
         timeout_us: int,
         on_end: Callable[[ExchangeResult], None],
     ) -> Exchange:
-        """Send a request to an endpoint. `on_end` is called exactly once, perhaps before this returns."""
+        """Start to send a request to an endpoint, and return the exchange.
+
+        `on_end` is called exactly once, possibly before this method returns.
+        """
         exchange = Exchange(self, endpoint_id, request, timeout_us, on_end)
         try:
             exchange.start()
         except Exception:
-            # Catches all: an exchange that did not end would leave its request without an answer.
-            log.exception("attempt on endpoint %s could not be started", endpoint_id)
+            # Every exception is caught, because a request would get no answer if its exchange never ended.
+            log.exception("failed to start an attempt at endpoint %s", endpoint_id)
             exchange.end_unsent()
         return exchange
 
     def start_probe(self, endpoint_id: EndpointId, on_end: Callable[[ExchangeResult], None]) -> None:
-        """Ask an endpoint for its load. `on_end` is called exactly once, perhaps before this returns."""
+        """Start a probe, which asks an endpoint for its load report, or only for a response if it sends none.
+
+        `on_end` is called exactly once, possibly before this method returns.
+        """
         self.start_attempt(endpoint_id, self._probe_request, PROBE_TIMEOUT_US, on_end)
--- a/nickelmount/agent/upstream_exchange.py
+++ b/nickelmount/agent/upstream_exchange.py
@@ -1,4 +1,4 @@
-"""The life of one attempt or probe, from the choice of a connection to its one end."""
+"""Exchanges with endpoints: one attempt or probe each, from the choice of a connection to the outcome."""
 
 from __future__ import annotations
 
@@ -21,51 +21,57 @@
 
 log = logging.getLogger(__name__)
 
-# Fields as they are sent
+# Header fields, spelled as they are sent.
 HOST_FIELD = (b"Host", http_names.UPSTREAM_HOST)
 REQUEST_TIMEOUT_FIELD_NAME = b"Request-Timeout-Ms"
 
-# Errors of connect that mean that this machine has run out of something; they say nothing about the endpoint.
+# Errors of connect which mean that this machine has run out of a resource. They say nothing about the
+# endpoint.
 LOCAL_RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 class ExchangeState(Enum):
-    """The states of an exchange, in their order. Each may be followed by ENDED."""
-
-    CONNECTING = "connecting"  # has no connection yet; nothing is at the endpoint
-    WRITING = "writing"  # the kernel has not taken all bytes; an endpoint does not begin on a part
-    AWAITING_RESPONSE = "awaiting response"  # all is written; the request may run
+    """The states of an exchange, in the order in which they follow each other; ENDED may follow any state."""
+
+    # The exchange has no connection yet, so the endpoint has received nothing.
+    CONNECTING = "connecting"
+    # The kernel has not taken all bytes. An endpoint does not run a request of which it has only a part.
+    WRITING = "writing"
+    # All bytes are written, so the request may run.
+    AWAITING_RESPONSE = "awaiting response"
     ENDED = "ended"
 
 
-# What ends an exchange with which outcome. Beside these, an exchange ends
-# - as NOT_SENT, and only while CONNECTING: if the endpoint is not ready, or is another process or in another
-#   zone or cell once the connection is established; if no more connections may be opened, or this machine
-#   has run out of resources; if the client has disconnected; if a fault of this program prevents connecting;
-# - as NOT_SENT, while CONNECTING or WRITING: if the time set by write_within is over;
-# - as CONNECT_FAILED, while CONNECTING: if the connection is refused, or not established in time.
-# A fault of this program while it sends counts as a lost connection.
-ON_CONNECTION_LOST: Mapping[ExchangeState, Outcome] = {
+# The outcome of each event, by the state in which the event occurs. An exchange can also end in these ways:
+# - as NOT_SENT, only in state CONNECTING: if the endpoint is not ready; if the endpoint is another process or
+#   is in another zone or cell by the time the connection is established; if no more connections may be
+#   opened; if this machine has run out of resources; if the client has disconnected; or if a bug in this
+#   program prevents the connect;
+# - as NOT_SENT, in state CONNECTING or WRITING: if the time limit set by write_within is over;
+# - as CONNECT_FAILED, in state CONNECTING: if the connection is refused or is not established in time.
+# A bug in this program that shows while it sends counts as a lost connection.
+OUTCOME_ON_CONNECTION_LOST: Mapping[ExchangeState, Outcome] = {
     ExchangeState.CONNECTING: Outcome.CONNECT_FAILED,
     ExchangeState.WRITING: Outcome.CONNECT_FAILED,
     ExchangeState.AWAITING_RESPONSE: Outcome.RESET,
 }
-ON_TIMEOUT: Mapping[ExchangeState, Outcome] = {
+OUTCOME_ON_TIMEOUT: Mapping[ExchangeState, Outcome] = {
     ExchangeState.CONNECTING: Outcome.CONNECT_FAILED,
     ExchangeState.WRITING: Outcome.CONNECT_FAILED,
     ExchangeState.AWAITING_RESPONSE: Outcome.TIMEOUT,
 }
-ON_CANCEL: Mapping[ExchangeState, Outcome] = {
+OUTCOME_ON_CANCEL: Mapping[ExchangeState, Outcome] = {
     ExchangeState.CONNECTING: Outcome.NOT_SENT,
     ExchangeState.WRITING: Outcome.CANCELLED,
     ExchangeState.AWAITING_RESPONSE: Outcome.CANCELLED,
 }
-# The process responds and the connection is intact, so this is no lost connection. The request may have run.
-ON_UNUSABLE_RESPONSE = Outcome.ERROR
+# This is not a lost connection, because the process responds and the connection is intact. The request may
+# have run.
+OUTCOME_ON_UNUSABLE_RESPONSE = Outcome.ERROR
 
 
 def outcome_of_response(response: HttpMessage) -> Outcome:
-    """What a complete response means, in any state."""
+    """Return the outcome of a complete response, which is the same in every state."""
     if response.status == 200:
         return Outcome.OK
     if response.status in (503, 504) and response.headers.get(http_names.NOT_STARTED) == b"1":
@@ -75,40 +81,40 @@
 
 @dataclass(slots=True, frozen=True)
 class UpstreamRequest:
-    """What is to be sent to an endpoint."""
+    """A request to an endpoint."""
 
     method: bytes
     target: bytes
-    headers: list[tuple[bytes, bytes]]  # beside Host, Content-Length and the timeout
+    headers: list[tuple[bytes, bytes]]  # All fields except Host, Content-Length and Request-Timeout-Ms.
     body: bytes = b""
-    sends_timeout: bool = False  # the endpoint is sent how long the agent waits for its response
-    client_has_disconnected: Callable[[], bool] = lambda: False  # asked directly before sending
+    sends_timeout: bool = False  # Whether Request-Timeout-Ms tells the endpoint how long the agent waits.
+    client_has_disconnected: Callable[[], bool] = lambda: False  # Called immediately before sending.
 
 
 @dataclass(slots=True, frozen=True)
 class ExchangeResult:
-    """How an exchange ended."""
+    """The outcome of an exchange, with the content of its response if there was one."""
 
     outcome: Outcome
-    latency_us: int  # from the start of the exchange, its connect included
-    load_report: tuple[float, ...] = ()  # by Settings.load_report_fields; (): none
+    latency_us: int  # The time since the start of the exchange, including the time to connect.
+    load_report: tuple[float, ...] = ()  # In the order of Settings.load_report_fields; () if there is none.
     body: bytes = b""
     content_type: str | None = None
 
 
 class ExchangeContext(Protocol):
-    """What exchanges share."""
+    """The objects that all exchanges share."""
 
     clock: Clock
     load_report_fields: tuple[str, ...]
     pool: ConnectionPool
 
     def ready_endpoint(self, endpoint_id: EndpointId) -> ListedEndpoint | None:
-        """Return the endpoint as it is listed now; None if it is not listed as ready."""
+        """Return the present list entry of an endpoint, or None if it is not listed as ready."""
 
 
 def _in_same_zone_and_cell(one: ListedEndpoint | None, other: ListedEndpoint | None) -> bool:
-    """Whether any dedup scope that has the one endpoint has the other as well."""
+    """Return whether two endpoints share zone and cell, and therefore every dedup scope."""
     return (
         one is not None
         and other is not None
@@ -118,10 +124,11 @@
 
 
 class Exchange:
-    """One attempt or probe: sends a request to an endpoint, and calls `on_end` exactly once.
+    """One attempt or probe, which sends a request to an endpoint and calls `on_end` exactly once.
 
-    All ends lead through `_end`, which ignores any but the first. When `on_end` is called, the timers are
-    cancelled, and the connection is back in the pool or closed, as seen by the endpoint.
+    Everything that ends an exchange calls `_end`, which ignores all calls but the first. Before `on_end` is
+    called, the timers are cancelled, and the connection is back in the pool or is closed, so that the
+    endpoint sees the close before any later attempt of the same request.
     """
 
     def __init__(
@@ -137,7 +144,7 @@
         self._loop = asyncio.get_running_loop()
         self._started_at_us = context.clock.now()
         self._deadline_us = self._started_at_us + timeout_us
-        self._write_deadline_us = self._deadline_us  # all is written before this, or never
+        self._write_deadline_us = self._deadline_us  # The last byte is written before this time or never.
         self._write_timer: asyncio.TimerHandle | None = None
         self._listed_at_start: ListedEndpoint | None = None
         self._connect_task: asyncio.Task[None] | None = None
@@ -148,27 +155,27 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether `on_end` has been called or is being called."""
+        """Whether the outcome is decided; `on_end` has been called or is about to be called."""
         return self._has_ended
 
     @property
     def connection(self) -> PooledConnection | None:
-        """The connection on which the request was sent; None before that."""
+        """The connection on which the request was sent, or None if it has not been sent."""
         return self._connection
 
     @property
     def state(self) -> ExchangeState:
-        """The present state."""
+        """The present state, derived from the connection."""
         if self._has_ended:
             return ExchangeState.ENDED
         if self._connection is None:
             return ExchangeState.CONNECTING
         return ExchangeState.AWAITING_RESPONSE if self._connection.all_written else ExchangeState.WRITING
 
-    # From the choice of a connection to the last byte
+    # Connecting and sending
 
     def start(self) -> None:
-        """Send on an idle connection, or begin to open one."""
+        """Send the request on an idle connection, or begin to open a new one."""
         listed = self._listed_at_start = self._context.ready_endpoint(self._endpoint_id)
         if listed is None:
             return self._end(Outcome.NOT_SENT)
@@ -184,12 +191,12 @@
     async def _connect(self, listed: ListedEndpoint) -> None:
         try:
             connection = await self._context.pool.open(listed)
-        except OSError as e:  # TimeoutError is one
+        except OSError as e:  # This includes TimeoutError.
             is_local = e.errno in LOCAL_RESOURCE_ERRNOS
             return self._end(Outcome.NOT_SENT if is_local else Outcome.CONNECT_FAILED)
         except Exception:
-            # Catches all: an exchange that did not end would leave its request without an answer.
-            log.exception("connecting to endpoint %s failed", self._endpoint_id)
+            # Every exception is caught, because a request would get no answer if its exchange never ended.
+            log.exception("failed to connect to endpoint %s", self._endpoint_id)
             return self._end(Outcome.NOT_SENT)
         self._connect_task = None
         self._send_or_end(connection)
@@ -198,18 +205,19 @@
         try:
             self._check_and_send(connection)
         except Exception:
-            # Catches all: an exchange that did not end would leave its request without an answer. Once the
-            # connection is this exchange's, it is not known whether the endpoint got the request.
-            log.exception("sending to endpoint %s failed", self._endpoint_id)
-            self._end_by(ON_CONNECTION_LOST)
+            # Every exception is caught, because a request would get no answer if its exchange never ended. If
+            # the exchange already owns the connection, it is unknown whether the endpoint got the request.
+            log.exception("failed to send a request to endpoint %s", self._endpoint_id)
+            self._end_by_state(OUTCOME_ON_CONNECTION_LOST)
 
     def _check_and_send(self, connection: PooledConnection) -> None:
-        """Send if what held when the endpoint was chosen still holds; connecting takes time.
+        """Send the request if the conditions under which the endpoint was chosen still hold.
 
-        The list may have changed meanwhile: nothing new goes to an endpoint that drains or was replaced, and
-        no repeat to one in another dedup scope. The client may have disconnected, and the time in which a
-        repeat is dropped may be over, while the event loop has run neither the read of that close nor the
-        timer yet: both would show only after the request was sent.
+        They may have changed while the connection was being established. If the list has changed, no new
+        request is sent to an endpoint that is draining or was replaced, and no repeat to an endpoint that is
+        now in another dedup scope. The client may have disconnected, or the dedup window, in which a repeat
+        is dropped, may be over. Both are checked here, because the event loop may have neither read the close
+        nor run the timer yet, and would do so only after the request was sent.
         """
         pool = self._context.pool
         listed_now = self._context.ready_endpoint(self._endpoint_id)
@@ -235,7 +243,10 @@
         connection.send(encode_request(request.method, request.target, headers, request.body))
 
     def write_within(self, limit_us: int) -> None:
-        """End as NOT_SENT unless the last byte is written within this time. The earliest limit holds."""
+        """End the exchange as NOT_SENT if the last byte is not written within `limit_us`.
+
+        If this is called more than once, the earliest deadline applies.
+        """
         deadline_us = self._context.clock.now() + limit_us
         if self._is_written_or_ended() or deadline_us >= self._write_deadline_us:
             return
@@ -247,43 +258,45 @@
     def _is_written_or_ended(self) -> bool:
         return self.state in (ExchangeState.AWAITING_RESPONSE, ExchangeState.ENDED)
 
-    # What ends it
+    # Events that end the exchange
 
     def cancel(self) -> None:
-        """Stop waiting for it."""
-        self._end_by(ON_CANCEL)
+        """End the exchange because its result is no longer needed."""
+        self._end_by_state(OUTCOME_ON_CANCEL)
 
     def end_unsent(self) -> None:
-        """End it where it could not be started."""
+        """End the exchange as NOT_SENT because it could not be started."""
         self._end(Outcome.NOT_SENT)
 
     def on_response(self, response: HttpMessage) -> None:
-        """End with a complete response."""
+        """End the exchange with the outcome of a complete response."""
         self._response = response
         self._end(outcome_of_response(response))
 
     def on_unusable_response(self) -> None:
-        """End with what cannot be read as a response."""
-        self._end(ON_UNUSABLE_RESPONSE)
+        """End the exchange because the received bytes are not a usable response."""
+        self._end(OUTCOME_ON_UNUSABLE_RESPONSE)
 
     def on_peer_closed(self) -> None:
-        """End with the loss of the connection."""
-        self._end_by(ON_CONNECTION_LOST)
+        """End the exchange because the connection is lost."""
+        self._end_by_state(OUTCOME_ON_CONNECTION_LOST)
 
     def _on_timeout(self) -> None:
-        self._end_by(ON_TIMEOUT)
+        self._end_by_state(OUTCOME_ON_TIMEOUT)
 
     def _on_write_deadline(self) -> None:
         if not self._is_written_or_ended():
             self._end(Outcome.NOT_SENT)
 
-    # The one end
+    # The end of the exchange
 
-    def _end_by(self, outcomes: Mapping[ExchangeState, Outcome]) -> None:
+    def _end_by_state(self, outcomes: Mapping[ExchangeState, Outcome]) -> None:
+        """End the exchange with the outcome that belongs to its present state."""
         if not self._has_ended:
             self._end(outcomes[self.state])
 
     def _end(self, outcome: Outcome) -> None:
+        """Release all resources and call `on_end`; do nothing if the exchange has already ended."""
         if self._has_ended:
             return
         self._has_ended = True
@@ -310,7 +323,7 @@
         )
 
     def _load_report(self, response: HttpMessage) -> tuple[float, ...]:
-        """Return the report in the header or, of a probe, in the body; () where there is none."""
+        """Return the load report from the header or, for a probe, from the body; () if there is none."""
         field_names = self._context.load_report_fields
         report = parse_load_report(response.header(http_names.SERVER_LOAD), field_names)
         if not report and self._request.target == http_names.LOAD_PATH:
