--- a/nickelmount/agent/discovery_client.py
+++ b/nickelmount/agent/discovery_client.py
@@ -1,8 +1,8 @@
-"""The client of discovery: the watch for changes of the endpoint list, and the fetch of the complete one.
+"""The client of discovery, which watches the endpoint list for changes and fetches the complete list.
 
-A watch is a chain of long polls: each asks for what changed after the revision that is held, and discovery
-holds its answer back until something does or the wait in the call is over. The balancer decides when a watch
-that has failed is opened again, and when the complete list is fetched.
+A watch is a sequence of long polls. Each asks for the changes after the revision that the client holds.
+Discovery delays its response until there is a change or until the wait that the call states is over. The
+balancer decides when a failed watch is started again and when the complete list is fetched.
 """
 
 from __future__ import annotations
@@ -26,24 +26,26 @@
 
 log = logging.getLogger(__name__)
 
-# The longest wait of a long poll. A shared discovery is called seldom: each call costs what all agents share.
+# The longest wait of a long poll at a discovery that all agents share. The wait is long so that each agent
+# calls rarely, because every call uses capacity that the agents share.
 SHARED_LONG_POLL_MS = 20_000
-# A local discovery serves this agent alone. A watch that has fallen silent is found out at the end of a long
-# poll, and has to be before the change that it missed counts as notified.
+# The wait of a long poll at a discovery that serves only this agent. A connection that no longer delivers
+# responses is detected only at the end of a long poll. That has to happen before a change that the watch has
+# missed counts as notified.
 LOCAL_LONG_POLL_MS = 2_000
-# Bounds a call that discovery answers at once, the opening of its connection included.
+# The timeout of a call that discovery answers immediately, including the time to connect.
 CALL_TIMEOUT_S = 2.0
-# How long after the end of its wait the answer to a long poll may arrive. Without a bound a discovery whose
-# machine is cut off, and which closes nothing, would keep the watch waiting for ever.
+# How long after the end of its wait the response to a long poll may arrive. Without this limit, the watch
+# would wait forever if the machine of discovery was cut off from the network and so closed no connection.
 LONG_POLL_GRACE_S = 0.5
-# The wait of a call that asks for changes at once; the protocol has no wait of 0.
+# The wait of a call that asks for changes and is to be answered immediately. The protocol has no wait of 0.
 IMMEDIATE_POLL_MS = 1
 
 ListCallback = Callable[[EndpointList | None], None]
 
 
 class DiscoveryClient:
-    """Calls discovery. A watch goes on from call to call until one fails."""
+    """A client of discovery that runs fetches and at most one watch, which ends when one of its calls fails."""
 
     def __init__(
         self,
@@ -54,41 +56,43 @@
         long_poll_ms: int = SHARED_LONG_POLL_MS,
         jitter_random: Random | None = None,
     ) -> None:
-        """`revision` is that of the list which is held at the start; None: no list is held.
+        """Create a client that makes no calls until `watch` or `fetch` is called.
 
-        `jitter_random` is given where all agents share discovery; each long poll then draws its wait from it.
-        A change ends the calls of all agents at once. With equal waits, all of these watches would fall
-        silent together, and all agents would call again in the same moment, more than discovery can answer
-        in time.
+        `revision` is the revision of the list that the agent holds at the start, or None if it holds no list.
+        `jitter_random` has to be given if all agents share discovery; the wait of each long poll is then
+        random. A change ends the long polls of all agents at the same time, so that the next ones begin
+        together. With equal waits they would also time out together if they got no response, and all agents
+        would call again at the same time, which is more than discovery can answer in time.
         """
         self._address, self._parser = address, parser
         self._connect_timeout_s, self._long_poll_ms = connect_timeout_s, long_poll_ms
         self._jitter_random = jitter_random
-        self._revision = revision  # None: the next call asks for the complete list
-        # The next call does not wait for a change: what was missed arrives at once, and silence shows soon.
+        self._revision = revision  # If it is None, the next call asks for the complete list.
+        # Whether the next call asks for an immediate response. Missed changes then arrive immediately, and a
+        # connection that delivers nothing is detected within CALL_TIMEOUT_S.
         self._poll_immediately = False
         self._watch_task: asyncio.Task[None] | None = None
         self._fetch_tasks: set[asyncio.Task[None]] = set()
 
     def watch(self, on_list: ListCallback) -> None:
-        """Report each list from now on; None, once, when the watch has failed.
+        """Start a watch, which calls `on_list` with each new list, and once with None when it has failed.
 
-        Does nothing while a watch runs.
+        Does nothing if a watch is running.
         """
         if self._watch_task is None or self._watch_task.done():
             self._watch_task = asyncio.get_running_loop().create_task(self._watch(on_list))
 
     def fetch(self, on_list: ListCallback) -> None:
-        """Report the complete list once, or None if the call has failed."""
+        """Fetch the complete list and call `on_list` with it, or with None if the call has failed."""
         task = asyncio.get_running_loop().create_task(self._fetch(on_list))
         self._fetch_tasks.add(task)
         task.add_done_callback(self._fetch_tasks.discard)
 
     def change_address(self, address: Address, on_list: ListCallback) -> None:
-        """Watch at another address from now on, beginning with the complete list.
+        """Watch the discovery at another address from now on, beginning with the complete list.
 
-        Calls to the old address end unreported. The revision is dropped, because those of one discovery mean
-        nothing to another.
+        Calls to the old address are cancelled, and `on_list` is not called for them. The client forgets its
+        revision, because the revisions of one discovery have no meaning at another.
         """
         if address == self._address:
             return
@@ -101,39 +105,42 @@
     # The watch
 
     async def _watch(self, on_list: ListCallback) -> None:
-        """Call, read, apply and report, over and over; report None after the first failure."""
+        """Call discovery repeatedly and report each list; after the first failure report None and end."""
         with self._new_session() as session:
             try:
                 while True:
                     await self._watch_step(session, on_list)
-            # All of them: the balancer waits for the report of the failure before it opens the next watch. If
-            # the task ended without one, the agent would never hear of a change again.
+            # Every exception is caught, because the balancer starts the next watch only after the failure of
+            # this one is reported. If the task ended without a report, the agent would get no more changes.
             except Exception as error:
                 _log_failure(error)
-                # During an outage of a shared discovery the next connection may be silent as well. If the
-                # next call were a long poll, that would be found out after its wait, by when the changes
-                # that it missed have long counted as notified. A local discovery needs no such care, as its
-                # long polls are short.
+                # During an outage of a shared discovery, the next connection may deliver nothing either. With
+                # a long poll, that would be detected only after its wait, when the changes missed by then
+                # have long counted as notified. The long polls at a local discovery are too short for that.
                 self._poll_immediately = self._jitter_random is not None
-        self._watch_task = None  # before the report: the balancer may answer it with the next watch
+        # This is reset before the failure is reported, because the balancer may start the next watch in
+        # response.
+        self._watch_task = None
         on_list(None)
 
     async def _watch_step(self, session: DiscoverySession, on_list: ListCallback) -> None:
+        """Make one call of the watch, and report its list unless that is an empty list of changes."""
         body = await self._call(session)
         if body is None:
             return
-        # Outside of the timeouts of the call: the answer has arrived, and how long this agent takes to read
-        # it says nothing of discovery.
+        # The timeout of the call does not include parsing, because the time that this agent takes to parse a
+        # response says nothing about discovery.
         endpoint_list = await self._parser.parse_body(body)
         self._poll_immediately = False
-        self._apply_watched(endpoint_list)
+        self._hold_watched_revision(endpoint_list)
         if endpoint_list.entries or endpoint_list.complete:
             on_list(endpoint_list)
 
     async def _call(self, session: DiscoverySession) -> bytes | None:
-        """Choose the call and make it: complete list, changes at once, or long poll.
+        """Ask for the complete list or for changes, and return the body of the response.
 
-        None: the long poll went unanswered, and the next call asks for the changes at once.
+        Changes are requested with an immediate response or with a long poll. Returns None if a long poll got
+        no response; the next call then asks for an immediate response.
         """
         if self._revision is None or self._poll_immediately:
             return await self._call_immediately(session)
@@ -153,25 +160,29 @@
             async with asyncio.timeout(wait_ms / 1000 + LONG_POLL_GRACE_S):
                 return await session.get(changes_target(self._revision, wait_ms))
         except TimeoutError:
-            # The connection no longer leads anywhere, and nothing has closed it. That is no sign of an
-            # overloaded discovery, so there is no pause: the watch goes on at once, on a new connection.
-            log.warning("watch of discovery fell silent; opening a new connection")
+            # The connection has stopped delivering data without being closed. This is not a sign that
+            # discovery is overloaded, so the watch continues immediately on a new connection, without a
+            # backoff.
+            log.warning("no response to a long poll of discovery; opening a new connection")
             session.disconnect()
             self._poll_immediately = True
             return None
 
     def _draw_wait_ms(self) -> int:
-        """The wait of the next long poll: at a shared discovery, drawn from the upper half of the range."""
+        """Return the wait of the next long poll.
+
+        At a shared discovery it is random, between half of the longest wait and all of it.
+        """
         if self._jitter_random is None:
             return self._long_poll_ms
         return int(self._long_poll_ms * (0.5 + 0.5 * self._jitter_random.random()))
 
-    def _apply_watched(self, endpoint_list: EndpointList) -> None:
+    def _hold_watched_revision(self, endpoint_list: EndpointList) -> None:
         try:
             self._hold_revision(endpoint_list)
         except StaleRevisionError:
-            # Either a fetch has brought a newer list since this call began, or discovery has started to count
-            # from the beginning. The complete list is right in both cases.
+            # Either a fetch has returned a newer list since this call began, or discovery has restarted its
+            # count of revisions. In both cases the complete list has to be requested next.
             self._revision = None
             raise
 
@@ -182,7 +193,8 @@
         with self._new_session() as session:
             try:
                 endpoint_list = await self._fetch_complete_list(session)
-            # All of them: the balancer counts on one report of each fetch, unless the address changes.
+            # Every exception is caught, because the balancer expects one report for each fetch, unless the
+            # address changes.
             except Exception as error:
                 _log_failure(error)
         on_list(endpoint_list)
@@ -195,13 +207,13 @@
         self._hold_revision(endpoint_list)
         return endpoint_list
 
-    # What both need
+    # Used by both the watch and the fetch
 
     def _new_session(self) -> DiscoverySession:
         return DiscoverySession(self._address, min(self._connect_timeout_s, CALL_TIMEOUT_S))
 
     def _hold_revision(self, endpoint_list: EndpointList) -> None:
-        """Hold the revision of a list; raises StaleRevisionError if it is older than the one that is held."""
+        """Store the revision of a list; raises StaleRevisionError if it is older than the stored one."""
         if self._revision is not None and endpoint_list.revision < self._revision:
             raise StaleRevisionError(endpoint_list.revision, self._revision)
         self._revision = endpoint_list.revision
@@ -209,7 +221,7 @@
 
 @asynccontextmanager
 async def _call_timeout() -> AsyncIterator[None]:
-    """Bound a call that discovery answers at once; raises DiscoveryError when its time is up."""
+    """Limit the time of a call that discovery answers immediately; raises DiscoveryError at the limit."""
     try:
         async with asyncio.timeout(CALL_TIMEOUT_S):
             yield
@@ -218,6 +230,8 @@
 
 
 def _log_failure(error: Exception) -> None:
-    """What discovery does wrong is one line; a fault of this program is logged with its trace."""
-    foreseen = isinstance(error, DiscoveryError)
-    log.warning("call to discovery failed: %s", str(error) or type(error).__name__, exc_info=not foreseen)
+    """Log an error of discovery as one line, and any other error, which is a bug, with its traceback."""
+    is_discovery_error = isinstance(error, DiscoveryError)
+    log.warning(
+        "call to discovery failed: %s", str(error) or type(error).__name__, exc_info=not is_discovery_error
+    )
--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -200,7 +200,7 @@
             assert client.known == await listed(port)
 
     asyncio.run(run())
-    assert "fell silent" in caplog.text
+    assert "no response to a long poll" in caplog.text
 
 
 def test_malformed_calls_are_refused_and_all_is_counted() -> None:
