--- a/nickelmount/agent/discovery_client.py
+++ b/nickelmount/agent/discovery_client.py
@@ -45,7 +45,7 @@
 
 
 class DiscoveryClient:
-    """A client of discovery that runs fetches and at most one watch, which ends when one of its calls fails."""
+    """A client of discovery that runs fetches and at most one watch, which ends when a call fails."""
 
     def __init__(
         self,
