--- a/tests/event_order.py
+++ b/tests/event_order.py
@@ -1,7 +1,7 @@
-"""Helpers that force an order of steps which the event loop does not give by itself.
+"""Helpers for tests that force an order of events which rarely occurs by itself.
 
-Some failures show only then: while bytes or a close are in the kernel and not read yet, or if a connection is
-established late.
+Some failures occur only in such an order, for example if bytes or a close have arrived in the kernel but have
+not been read, or if a connection is established late.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def wait_until_kernel_has(connection: Connection, events: int) -> None:
-    """Wait, without a cycle of the event loop, until poll reports one of these events on the socket."""
+    """Wait until poll reports one of these events on the socket, without an iteration of the event loop."""
     assert connection.transport is not None
     poll = select.poll()
     poll.register(connection.transport.get_extra_info("socket").fileno(), events)
@@ -28,33 +28,36 @@
 
 
 def wait_until_readable(connection: Connection) -> None:
-    """Wait, without a cycle of the event loop, until bytes or a close are there to be read."""
+    """Wait until bytes or a close can be read, without an iteration of the event loop."""
     wait_until_kernel_has(connection, select.POLLIN)
 
 
 async def wait_for_accepted(setup: LoopbackSetup, count: int) -> None:
-    """Wait until the agent has accepted so many requests."""
+    """Wait until the agent has accepted `count` requests since its start."""
     while setup.agent.accepted_count < count:
         await asyncio.sleep(0)
 
 
 class DelayedConnect:
-    """The nth connection that is opened from now on is established, and handed over only by `hand_over`."""
+    """A delay of the nth connection to an endpoint that is opened from now on.
+
+    The connection is established, but its exchange gets it only after `hand_over` is called.
+    """
 
     def __init__(self, setup: LoopbackSetup, monkeypatch: pytest.MonkeyPatch, nth: int = 1) -> None:
         self.established = asyncio.Event()
         self._may_hand_over = asyncio.Event()
-        self._opens_before = nth
+        self._opens_until_delay = nth
         self._open = setup.pool.open
         monkeypatch.setattr(setup.pool, "open", self._open_delayed)
 
     def hand_over(self) -> None:
-        """Let the exchange that opened the connection run next, ahead of whoever reads from sockets."""
+        """Give the connection to its exchange, which runs before the event loop reads from any socket."""
         self._may_hand_over.set()
 
     async def _open_delayed(self, listed: ListedEndpoint) -> PooledConnection:
-        self._opens_before -= 1
-        is_delayed = self._opens_before == 0
+        self._opens_until_delay -= 1
+        is_delayed = self._opens_until_delay == 0
         connection = await self._open(listed)
         if is_delayed:
             self.established.set()
@@ -63,21 +66,21 @@
 
 
 class BlockingClient:
-    """A client whose bytes and whose close reach the agent's kernel without a cycle of the event loop."""
+    """A client with a blocking socket, whose bytes and close arrive without help of the event loop."""
 
     def __init__(self, setup: LoopbackSetup) -> None:
-        self._known = set(setup.listener.connections)
+        self._earlier_connections = set(setup.listener.connections)
         self._setup = setup
         self.socket = socket.create_connection(("127.0.0.1", setup.port))
 
     async def accepted(self) -> BlockingClient:
-        """Wait until the agent has accepted the connection."""
-        while not (new := self._setup.listener.connections - self._known):
+        """Wait until the agent has accepted the connection, and return this client."""
+        while not (new := self._setup.listener.connections - self._earlier_connections):
             await asyncio.sleep(0)
         (self._agent_side,) = new
         return self
 
-    def disconnect(self, how: Callable[[socket.socket], None]) -> None:
-        """Disconnect; returns once the agent's kernel knows, before the agent has read it."""
-        how(self.socket)
+    def disconnect(self, close_socket: Callable[[socket.socket], None]) -> None:
+        """Disconnect with `close_socket`, and wait until the kernel knows; the agent has not read it yet."""
+        close_socket(self.socket)
         wait_until_kernel_has(self._agent_side, select.POLLRDHUP)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,7 @@
-"""Scripted peers on loopback, and an agent between them. The system picks the ports; tests wait on events."""
+"""An agent in the test's process, with scripted endpoints, a scripted discovery and clients on loopback.
+
+The operating system picks the ports. Tests wait for events instead of fixed times.
+"""
 
 from __future__ import annotations
 
@@ -23,16 +26,18 @@
 from nickelmount.protocol.address import Address
 from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser
 
-KEYED, NOT_IDEMPOTENT = (
-    "registro-servicio",
-    "vale-almacen",
-)  # classes: repeats are dropped by key; must not run twice
+# Two request classes. Endpoints drop repeats of a KEYED request by its idempotency key. A NOT_IDEMPOTENT
+# request must not run twice.
+KEYED, NOT_IDEMPOTENT = "registro-servicio", "vale-almacen"
 LOAD_REPORT = b"inflight=0,queue=0,util=0.1"
-TEST_TIMEOUT_S = 60  # a hang fails the test; nothing is timed by this
+TEST_TIMEOUT_S = 60  # A test that hangs for longer fails. No test measures this time.
 
 
 def settings(**allowed: Any) -> dict[str, Any]:
-    """Settings as a deployment states them; probes are off unless asked for."""
+    """Return the settings section of a configuration file.
+
+    Keyword arguments replace or add keys of its section `allowed`. By default, the agent may not probe.
+    """
     return {
         "allowed": {
             "cancel": True,
@@ -82,6 +87,7 @@
 
 
 def member(name: str, port: int, phase: str = "SERVING", up_since_ms: int = 0) -> dict[str, Any]:
+    """Return the entry of an endpoint on loopback, as discovery writes it in an endpoint list."""
     return {
         "id": name,
         "host_port": f"127.0.0.1:{port}",
@@ -97,19 +103,19 @@
 def endpoint_list(
     *members: dict[str, Any], complete: bool = False, zones: tuple[str, ...] = ("a",)
 ) -> EndpointList:
-    """An endpoint list as the agent reads it."""
+    """Return the endpoint list that the agent's parser reads from these entries, with revision 42."""
     parser = EndpointListParser(Clock(), zones)
     return parser.parse({"revision": 42, "complete": complete, "members": list(members)})
 
 
-def complete_list(*peers: ScriptedServer) -> EndpointList:
-    """A complete endpoint list that names the peers as s0, s1 ...; without peers, an empty one."""
-    return endpoint_list(*(member(f"s{i}", peer.port) for i, peer in enumerate(peers)), complete=True)
+def complete_list(*servers: ScriptedServer) -> EndpointList:
+    """Return a complete endpoint list that names the servers s0, s1 and so on."""
+    return endpoint_list(*(member(f"s{i}", server.port) for i, server in enumerate(servers)), complete=True)
 
 
 @dataclass
 class Message:
-    """A request as a peer got it, or an answer as a client got it."""
+    """A request that a scripted server received, or a response that a client received."""
 
     start_line: str
     headers: dict[str, str]
@@ -117,27 +123,31 @@
     connection: StreamConnection
 
     async def answer(self, status: int = 200, body: bytes = b"done", **headers: str) -> None:
+        """Send the response to this request; in names of headers, "_" stands for "-"."""
         lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
         lines += [f"{k.replace('_', '-')}: {v}" for k, v in headers.items()]
         await self.connection.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     @property
     def status(self) -> int:
+        """The status of a response."""
         return int(self.start_line.split()[1])
 
 
 class StreamConnection:
-    """Either end of one connection."""
+    """One end of a TCP connection, either a client's or a scripted server's."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.peer_closed: asyncio.Event | None = None  # for a peer, whose requests are read as they come
+        # At a scripted server, an event that is set when the other side has closed; None at a client.
+        self.peer_closed: asyncio.Event | None = None
 
     async def write(self, data: bytes) -> None:
         self.writer.write(data)
         await self.writer.drain()
 
     async def read(self) -> Message:
+        """Return the next request or response."""
         head = (await self.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         headers = {k.lower(): v for k, _, v in (line.partition(": ") for line in head[1:] if line)}
         body = await self.reader.readexactly(int(headers.get("content-length", "0")))
@@ -156,11 +166,11 @@
         self.writer.transport.abort()
 
     def shut_down_socket(self) -> None:
-        """Close it in the kernel now, without a cycle of the event loop."""
+        """Close the connection in the kernel immediately, without an iteration of the event loop."""
         self.writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
     def peer_has_closed(self) -> bool:
-        """Whether the kernel knows now that the other side has closed."""
+        """Return whether the kernel knows that the other side has closed the connection."""
         with self.writer.get_extra_info("socket").dup() as s, contextlib.suppress(BlockingIOError):
             return not s.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         return False
@@ -170,31 +180,36 @@
 
 
 class ScriptedServer:
-    """A server whose requests the test answers one by one; probes are answered at once."""
+    """An HTTP server, used as an endpoint or as discovery, whose requests the test answers one by one.
+
+    By default, it answers probes itself.
+    """
 
     def __init__(self, answers_probes: bool = True) -> None:
         self._answers_probes = answers_probes
-        self.requests: asyncio.Queue[Message] = asyncio.Queue()
-        self.connection_count = 0
+        self.requests: asyncio.Queue[Message] = asyncio.Queue()  # The requests that the test has not taken.
+        self.connection_count = 0  # The number of connections that were ever accepted.
 
     async def start(self) -> ScriptedServer:
+        """Listen on a port that the operating system picks, and return this server."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = int(self.server.sockets[0].getsockname()[1])
         return self
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Read the requests of one connection until the other side closes it."""
         self.connection_count += 1
-        conversation = StreamConnection(reader, writer)
-        conversation.peer_closed = asyncio.Event()
+        connection = StreamConnection(reader, writer)
+        connection.peer_closed = asyncio.Event()
         try:
             while True:
-                message = await conversation.read()
+                message = await connection.read()
                 if self._answers_probes and message.start_line.startswith("GET /_load"):
                     await message.answer(200, LOAD_REPORT)
                 else:
                     self.requests.put_nowait(message)
         except (asyncio.IncompleteReadError, ConnectionError):
-            conversation.peer_closed.set()
+            connection.peer_closed.set()
         finally:
             writer.close()
 
@@ -204,43 +219,48 @@
 
 @contextlib.asynccontextmanager
 async def running_server() -> AsyncIterator[ScriptedServer]:
-    """A peer that listens until the block ends."""
-    peer = await ScriptedServer().start()
+    """Yield a scripted server that listens until the block ends."""
+    server = await ScriptedServer().start()
     try:
-        yield peer
+        yield server
     finally:
-        await peer.stop()
+        await server.stop()
 
 
 def post(
-    cls: str = KEYED,
+    request_class: str = KEYED,
     body: bytes = b"job",
     timeout_ms: str = "30000",
     drop: tuple[str, ...] = (),
     path: str = "/api?obj=7f3a",
     **headers: str,
 ) -> bytes:
-    """A request of the application; headers by name with _ for -."""
+    """Return the bytes of a POST request of a client.
+
+    `headers` are added or replace default ones; in their names, "_" stands for "-". `drop` names default
+    headers that are left out.
+    """
     fields = {
         "Host": "origin.svc",
         "Request-Id": "9b1f",
-        "Request-Class": cls,
+        "Request-Class": request_class,
         "Tenant": "norvalle",
         "Request-Timeout-Ms": timeout_ms,
         "Content-Length": str(len(body)),
     }
-    if cls == KEYED:
+    if request_class == KEYED:
         fields["Idempotency-Key"] = "5c0f"
     fields |= {k.replace("_", "-"): v for k, v in headers.items()}
     head = "".join(f"{k}: {v}\r\n" for k, v in fields.items() if k not in drop)
     return f"POST {path} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
-def config_doc(discovery: int, members: list[dict[str, Any]], **allowed: Any) -> dict[str, Any]:
+def config_doc(discovery_port: int, members: list[dict[str, Any]], **allowed: Any) -> dict[str, Any]:
+    """Return a configuration file's content, whose cached endpoint list has these members at revision 41."""
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
-        "discovery": f"127.0.0.1:{discovery}",
+        "discovery": f"127.0.0.1:{discovery_port}",
         "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": settings(**allowed),
@@ -250,11 +270,11 @@
 
 @dataclass
 class LoopbackSetup:
-    """An agent, its endpoints and its discovery."""
+    """An agent with its listener, its endpoints, its discovery and its clients."""
 
     agent: Agent
     listener: Listener
-    port: int
+    port: int  # The port on which the listener accepts clients.
     discovery: ScriptedServer
     endpoints: list[ScriptedServer]
     clock: Clock
@@ -265,29 +285,32 @@
         return self.agent.upstream.pool
 
     async def client(self) -> StreamConnection:
+        """Connect a new client to the agent."""
         client = StreamConnection(*await asyncio.open_connection("127.0.0.1", self.port))
         self.clients.append(client)
         return client
 
     async def send_request(self, request: bytes) -> StreamConnection:
+        """Send a request from a new client, and return the client."""
         client = await self.client()
         await client.write(request)
         return client
 
     async def next_request(self) -> Message:
-        """The next request that reaches any backend."""
-        waiting = [asyncio.create_task(b.requests.get()) for b in self.endpoints]
+        """Wait for the next request that reaches any endpoint, and return it."""
+        waiting = [asyncio.create_task(endpoint.requests.get()) for endpoint in self.endpoints]
         try:
             done, _ = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
             return done.pop().result()
         finally:
-            for task in waiting:  # one left waiting would swallow a later request
+            for task in waiting:  # A task that was left waiting would take a later request.
                 task.cancel()
 
     def nothing_sent(self) -> bool:
-        return all(b.requests.empty() for b in self.endpoints)
+        """Return whether no endpoint has received a request that the test has not taken."""
+        return all(endpoint.requests.empty() for endpoint in self.endpoints)
 
-    # What the balancer holds. Its attributes are named here only.
+    # The balancer's state. Only the following methods name attributes of the balancer.
 
     @property
     def _balancer(self) -> Balancer:
@@ -295,30 +318,33 @@
 
     @property
     def balancer_in_flight_count(self) -> int:
-        """Attempts whose end the balancer still waits for."""
+        """The number of attempts whose end the balancer still waits for."""
         return self._balancer.in_flight_count
 
     @property
     def balancer_request_count(self) -> int:
-        """Requests that have no final answer, as the balancer counts."""
+        """The number of requests without a final answer, as the balancer counts them."""
         return len(self._balancer.requests)
 
     @property
     def balancer_queued_count(self) -> int:
-        """Requests that the balancer holds back because no endpoint has capacity."""
+        """The number of requests that the balancer holds back because no endpoint has capacity."""
         return len(self._balancer.waiting)
 
     def balancer_load_by_endpoint(self) -> list[float]:
-        """What the balancer counts against each endpoint: its attempts, and the penalties for bad ends."""
+        """Return the load that the balancer counts for each endpoint: attempts in flight and penalties."""
         balancer = self._balancer
         return [endpoint.own_in_flight(balancer.now_us) for endpoint in balancer.endpoints.by_id.values()]
 
     def set_typical_latency_us(self, latency_us: float) -> None:
-        """Make this the usual latency, from which the balancer derives the delay of a hedged request."""
+        """Set the typical latency, from which the balancer derives the delay of a hedged request."""
         self._balancer.table.typical_latency_us = latency_us
 
     def fire_next_balancer_timer(self) -> None:
-        """Fire the balancer's next timer now, ahead of whatever has not been read from sockets."""
+        """Fire the balancer's next timer now, before the event loop reads from any socket.
+
+        The clock is put forward to the time of the timer.
+        """
         balancer, now = self._balancer, self.clock.now
         early_us = max(0, balancer.timers.next_at_us - now())
         self.clock.now = lambda: now() + early_us  # type: ignore[method-assign]
@@ -326,6 +352,7 @@
 
 
 def load_config(folder: Path, doc: dict[str, Any], clock: Clock) -> Config:
+    """Write a configuration file into the folder and load it."""
     path = folder / "config.json"
     path.write_text(json.dumps(doc))
     return load({"RELAY_CONFIG": str(path)}, clock)
@@ -339,10 +366,15 @@
     timeouts: ClientTimeouts | None = None,
     **allowed: Any,
 ) -> AsyncIterator[LoopbackSetup]:
-    """Everything up and listening; all of it ends with the block."""
+    """Yield an agent that listens, with its endpoints s0, s1 and so on; all of it ends with the block.
+
+    `max_sockets` and `timeouts` replace the defaults if they are given; see `settings` for `allowed`.
+    """
     discovery = await ScriptedServer().start()
-    peers = [await ScriptedServer().start() for _ in range(endpoints)]
-    doc = config_doc(discovery.port, [member(f"s{i}", p.port) for i, p in enumerate(peers)], **allowed)
+    servers = [await ScriptedServer().start() for _ in range(endpoints)]
+    doc = config_doc(
+        discovery.port, [member(f"s{i}", server.port) for i, server in enumerate(servers)], **allowed
+    )
     clock = Clock()
     config = load_config(folder, doc, clock)
     if max_sockets is not None:
@@ -350,13 +382,13 @@
     agent, listener = assemble(config, clock, timeouts, settle_time_us=0)
     agent.start(config.known_list)
     port = await listener.listen(Address("127.0.0.1", 0))
-    w = LoopbackSetup(agent, listener, port, discovery, peers, clock)
+    setup = LoopbackSetup(agent, listener, port, discovery, servers, clock)
     try:
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            yield w
+            yield setup
     finally:
-        for client in w.clients:
+        for client in setup.clients:
             client.close()
         listener.close()
-        for peer in [discovery, *peers]:
-            await peer.stop()
+        for server in [discovery, *servers]:
+            await server.stop()
