--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""How an exchange with an endpoint ends, and which connections are used again."""
+"""Tests of the outcome of an exchange with an endpoint, and of which connections are reused."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from tests.loopback import Message, ScriptedServer, endpoint_list, member, running_server
 
 LOAD_REPORT_FIELDS = ("inflight", "queue", "util")
-LONG_US = 600_000_000  # no limit that a test reaches: longer than TEST_TIMEOUT_S
+LONG_US = 600_000_000  # A time limit that no test reaches, because it is longer than TEST_TIMEOUT_S.
 REQUEST = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"job")
 OK = b"HTTP/1.1 200 OK\r\n"
 
 
-class SteppedClock(Clock):
-    """A clock that the test moves."""
+class ManualClock(Clock):
+    """A clock that only the test puts forward."""
 
     now_us = 1_000_000
 
@@ -35,7 +35,7 @@
         return self.now_us
 
 
-def upstream_of(
+def upstream_with_endpoint(
     port: int,
     idle_timeout_us: int = LONG_US,
     connect_timeout_us: int = 10_000_000,
@@ -43,7 +43,7 @@
     settle_time_us: int = 0,
     clock: Clock | None = None,
 ) -> Upstream:
-    """An Upstream that knows one endpoint, "s", on a port of this machine."""
+    """Return an Upstream that lists one endpoint, "s", on a loopback port."""
     clock = clock or Clock()
     pool = ConnectionPool(clock, connect_timeout_us, idle_timeout_us, max_connections, settle_time_us)
     upstream = Upstream(clock, LOAD_REPORT_FIELDS, pool)
@@ -57,8 +57,9 @@
     timeout_us: int = LONG_US,
     endpoint_id: str = "s",
 ) -> tuple[Exchange, asyncio.Future[ExchangeResult]]:
+    """Start an exchange, and return it with a future of its result."""
     result: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
-    # A future raises if it is set twice, so this also asserts that an exchange ends once.
+    # A future raises an error if its result is set twice, so this also asserts that an exchange ends once.
     return upstream.start_attempt(endpoint_id, request, timeout_us, result.set_result), result
 
 
@@ -68,19 +69,20 @@
     timeout_us: int = LONG_US,
     endpoint_id: str = "s",
 ) -> asyncio.Future[ExchangeResult]:
+    """Start an exchange, and return a future of its result."""
     return start_exchange(upstream, request, timeout_us, endpoint_id)[1]
 
 
-async def serve_one(upstream: Upstream, peer: ScriptedServer) -> Message:
-    """One exchange that succeeds; its connection may be reused."""
+async def serve_one(upstream: Upstream, server: ScriptedServer) -> Message:
+    """Run one successful exchange, and return its request; the connection may be reused afterwards."""
     result = start(upstream)
-    message = await peer.requests.get()
+    message = await server.requests.get()
     await message.answer()
     assert (await result).outcome is Outcome.OK
     return message
 
 
-# Outcomes once the request is written
+# Outcomes after the request has been written
 
 
 async def truncate_response(message: Message) -> None:
@@ -97,7 +99,7 @@
 
 
 def write_raw(data: bytes) -> Callable[[Message], Awaitable[None]]:
-    """The connection stays open after these bytes."""
+    """Return a behavior that writes these bytes and leaves the connection open."""
     return lambda message: message.connection.write(data)
 
 
@@ -140,19 +142,19 @@
 async def test_outcome_after_the_last_byte_is_written(
     endpoint_does: Callable[[Message], Awaitable[None]], outcome: Outcome
 ) -> None:
-    async with running_server() as peer:
-        result = start(upstream_of(peer.port))
-        await endpoint_does(await peer.requests.get())
+    async with running_server() as server:
+        result = start(upstream_with_endpoint(server.port))
+        await endpoint_does(await server.requests.get())
         assert (await result).outcome is outcome
 
 
 @async_test()
 async def test_a_response_of_400_kb_is_served_complete() -> None:
-    """Responses above 64 KiB were once treated as unusable, and their requests were rejected."""
-    async with running_server() as peer:
-        result_future = start(upstream_of(peer.port))
+    """Responses above 64 KiB were once treated as unusable, so that their requests were rejected."""
+    async with running_server() as server:
+        result_future = start(upstream_with_endpoint(server.port))
         body = bytes(range(256)) * 1600
-        await (await peer.requests.get()).answer(200, body)
+        await (await server.requests.get()).answer(200, body)
         result = await result_future
         assert result.outcome is Outcome.OK
         assert result.body == body
@@ -170,16 +172,16 @@
     ],
 )
 @async_test()
-async def test_an_endless_response_is_given_up_within_a_bound(response_start: bytes) -> None:
-    """An endpoint begins a response and never ends it: a header, a trailer, a chunk or a body goes on.
+async def test_an_endless_response_is_aborted_at_a_size_limit(response_start: bytes) -> None:
+    """An endpoint sends a response with a header, a trailer, a chunk or a body that never ends.
 
-    Unbounded, the agent would hold all of it in memory. The exchange ends as an error, and the connection is
-    closed and not reused.
+    Without a limit, the agent would hold all of it in memory. The exchange must end as an error, and its
+    connection must be closed and not reused.
     """
-    async with asyncio.timeout(20), running_server() as peer:
-        upstream = upstream_of(peer.port)
+    async with asyncio.timeout(20), running_server() as server:
+        upstream = upstream_with_endpoint(server.port)
         result = start(upstream)
-        message = await peer.requests.get()
+        message = await server.requests.get()
         await message.connection.write(OK + response_start)
         sent_bytes = 0
         with contextlib.suppress(ConnectionError):
@@ -189,19 +191,19 @@
         assert (await result).outcome is Outcome.ERROR
         assert sent_bytes < 8_000_000
         await message.connection.wait_for_close()
-        await serve_one(upstream, peer)
-        assert peer.connection_count == 2
+        await serve_one(upstream, server)
+        assert server.connection_count == 2
 
 
 @async_test()
 async def test_a_timeout_closes_the_connection_before_it_is_reported() -> None:
-    """A request times out at one endpoint, and its next attempt goes to another.
+    """A request times out at one endpoint, and its next attempt is sent to another.
 
-    Were the first connection closed only later, both endpoints would work on the request at once. When the
-    end is reported, the kernel of the first endpoint must know of the close.
+    If the first connection was closed only later, both endpoints would work on the request at the same time.
+    Therefore the kernel of the first endpoint must know of the close when the timeout is reported.
     """
-    async with running_server() as peer:
-        upstream = upstream_of(peer.port)
+    async with running_server() as server:
+        upstream = upstream_with_endpoint(server.port)
         result_future: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
         messages: list[Message] = []
         was_closed_at_end: list[bool] = []
@@ -211,20 +213,20 @@
             result_future.set_result(result)
 
         upstream.start_attempt("s", REQUEST, 1_000_000, on_end)
-        messages.append(await peer.requests.get())
+        messages.append(await server.requests.get())
         assert (await result_future).outcome is Outcome.TIMEOUT
         assert was_closed_at_end == [True]
         await messages[0].connection.wait_for_close()
 
 
-# Outcomes before that
+# Outcomes before the request has been written
 
 
 @async_test()
 async def test_a_refused_connection_is_a_failed_connect() -> None:
-    with socket.socket() as bound:  # bound and not listening: every connection is refused
+    with socket.socket() as bound:  # Every connection is refused, because the socket does not listen.
         bound.bind(("127.0.0.1", 0))
-        assert (await start(upstream_of(bound.getsockname()[1]))).outcome is Outcome.CONNECT_FAILED
+        assert (await start(upstream_with_endpoint(bound.getsockname()[1]))).outcome is Outcome.CONNECT_FAILED
 
 
 @pytest.mark.parametrize(("connect_timeout_us", "timeout_us"), [(30_000, 60_000_000), (60_000_000, 30_000)])
@@ -232,7 +234,10 @@
 async def test_a_connection_that_is_never_established_is_a_failed_connect(
     connect_timeout_us: int, timeout_us: int
 ) -> None:
-    """An endpoint no longer accepts and its queue is full: the connect hangs until one of the timeouts."""
+    """An endpoint no longer accepts connections, and its accept queue is full.
+
+    The connect gets no response until either the connect timeout or the timeout of the attempt is over.
+    """
     with contextlib.ExitStack() as sockets:
         listener = sockets.enter_context(socket.socket())
         listener.bind(("127.0.0.1", 0))
@@ -241,14 +246,14 @@
             queued = sockets.enter_context(socket.socket())
             queued.setblocking(False)
             queued.connect_ex(listener.getsockname())
-        upstream = upstream_of(listener.getsockname()[1], connect_timeout_us=connect_timeout_us)
+        upstream = upstream_with_endpoint(listener.getsockname()[1], connect_timeout_us=connect_timeout_us)
         result = start(upstream, timeout_us=timeout_us)
         assert (await result).outcome is Outcome.CONNECT_FAILED
 
 
 @async_test()
 async def test_a_connection_lost_before_the_last_byte_is_written_is_a_failed_connect() -> None:
-    """An endpoint resets the connection while the request is being written, so it surely has not begun."""
+    """An endpoint resets the connection while the request is being written, so it cannot have run."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(10)
@@ -256,26 +261,27 @@
 
     async with await asyncio.start_server(serve, "127.0.0.1", 0, limit=1024) as server:
         port = server.sockets[0].getsockname()[1]
-        # More than all buffers between the two can hold.
+        # The body is larger than all buffers between the agent and the endpoint together.
         request = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"x" * 64 * 1024 * 1024)
-        assert (await start(upstream_of(port), request)).outcome is Outcome.CONNECT_FAILED
+        assert (await start(upstream_with_endpoint(port), request)).outcome is Outcome.CONNECT_FAILED
 
 
 @async_test()
 async def test_a_request_that_exceeds_its_write_limit_is_never_written_completely() -> None:
-    """An endpoint accepts and reads nothing, until the time is over in which it would drop a repeat.
+    """An endpoint accepts a connection and reads nothing until the dedup window is over.
 
-    The exchange ends as not sent. The endpoint must not get the rest of the request afterwards.
+    After that, it would no longer drop a repeat. The exchange must end as NOT_SENT, and the endpoint must not
+    receive the rest of the request later.
     """
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setblocking(False)
         request = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"x" * 50_000_000)
-        exchange, result = start_exchange(upstream_of(listener.getsockname()[1]), request)
+        exchange, result = start_exchange(upstream_with_endpoint(listener.getsockname()[1]), request)
         accepted, _ = await loop.sock_accept(listener)
         with accepted:
             exchange.write_within(50_000)
-            exchange.write_within(60_000_000)  # a later limit does not lift the earlier one
+            exchange.write_within(60_000_000)  # The earlier limit still applies.
             assert (await result).outcome is Outcome.NOT_SENT
             received_bytes = 0
             with contextlib.suppress(ConnectionError):
@@ -285,10 +291,10 @@
 
 
 @async_test()
-async def test_a_write_limit_does_not_end_what_is_written() -> None:
-    async with running_server() as peer:
-        exchange, result = start_exchange(upstream_of(peer.port))
-        message = await peer.requests.get()
+async def test_a_write_limit_does_not_end_an_exchange_whose_request_is_written() -> None:
+    async with running_server() as server:
+        exchange, result = start_exchange(upstream_with_endpoint(server.port))
+        message = await server.requests.get()
         exchange.write_within(1)
         await asyncio.sleep(0.02)
         await message.answer()
@@ -297,45 +303,51 @@
 
 @async_test()
 async def test_nothing_is_sent_to_an_endpoint_that_drains_while_the_connection_is_established() -> None:
-    async with running_server() as peer:
-        upstream = upstream_of(peer.port)
+    async with running_server() as server:
+        upstream = upstream_with_endpoint(server.port)
         result = start(upstream)
-        upstream.apply(endpoint_list(member("s", peer.port, "DRAINING")))
+        upstream.apply(endpoint_list(member("s", server.port, "DRAINING")))
         assert (await result).outcome is Outcome.NOT_SENT
-        assert peer.requests.empty()
+        assert server.requests.empty()
 
 
 @async_test()
-async def test_running_out_of_descriptors_is_no_fault_of_the_endpoint(
+async def test_running_out_of_file_descriptors_is_not_a_failed_connect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """This machine has no descriptor left. Counted as failed connects, good endpoints would be ejected."""
+    """This machine has no file descriptor left.
+
+    If that counted as a failed connect, healthy endpoints would be ejected as outliers.
+    """
 
     async def fail_to_connect(*_: object) -> None:
         raise OSError(errno.EMFILE, "too many open files")
 
-    async with running_server() as peer:
-        upstream = upstream_of(peer.port)
+    async with running_server() as server:
+        upstream = upstream_with_endpoint(server.port)
         monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", fail_to_connect)
         assert (await start(upstream)).outcome is Outcome.NOT_SENT
 
 
 @pytest.mark.parametrize("has_idle_connection", [False, True])
 @async_test()
-async def test_a_fault_while_a_request_is_written_ends_its_exchange(
+async def test_an_exception_while_a_request_is_written_ends_its_exchange(
     monkeypatch: pytest.MonkeyPatch, has_idle_connection: bool
 ) -> None:
-    """Writing raises. An exchange without an end would leave its request without an answer."""
+    """The method that writes the request raises an exception.
+
+    If the exchange did not end, its request would get no answer.
+    """
 
     def send(self: Connection, data: bytes) -> None:
         raise ValueError("no such header")
 
-    async with running_server() as peer:
-        upstream = upstream_of(peer.port)
+    async with running_server() as server:
+        upstream = upstream_with_endpoint(server.port)
         if has_idle_connection:
-            await serve_one(upstream, peer)
+            await serve_one(upstream, server)
         monkeypatch.setattr(Connection, "send", send)
-        # It is not known then whether the request has run.
+        # The outcome is RESET, because it is unknown whether the request has run.
         assert (await start(upstream)).outcome is Outcome.RESET
 
 
@@ -344,94 +356,94 @@
 
 @async_test()
 async def test_a_connection_that_the_endpoint_has_closed_is_not_reused() -> None:
-    """The endpoint closes an idle connection, and the next request comes before the agent has read that.
+    """The endpoint closes an idle connection, and a request arrives before the agent has read the close.
 
-    Sent on this connection, the request would be lost, and it would not be known whether it has run.
+    If the request was sent on this connection, it would be lost, and it would be unknown whether it has run.
     """
-    async with running_server() as peer:
-        upstream = upstream_of(peer.port)
-        message = await serve_one(upstream, peer)
+    async with running_server() as server:
+        upstream = upstream_with_endpoint(server.port)
+        message = await serve_one(upstream, server)
         message.connection.shut_down_socket()
-        # No cycle of the event loop in between: the close is in the kernel, and has not been read.
-        await serve_one(upstream, peer)
-        assert peer.connection_count == 2
+        # No iteration of the event loop has passed, so the close is in the kernel and has not been read.
+        await serve_one(upstream, server)
+        assert server.connection_count == 2
 
 
 @pytest.mark.parametrize("excess", [OK + b"Content-Length: 5\r\n\r\nother", b"noise"])
 @pytest.mark.parametrize("is_separate", [False, True])
 @async_test()
-async def test_bytes_that_follow_a_response_are_no_response_to_the_next_request(
+async def test_bytes_that_follow_a_response_are_not_read_as_the_next_response(
     excess: bytes, is_separate: bool
 ) -> None:
-    """An endpoint sends more than its response, at once or while the connection is idle.
+    """An endpoint sends excess bytes, together with its response or while the connection is idle.
 
-    Were the connection reused, the next request would be answered with those bytes.
+    If the connection was reused, the next request would be answered with those bytes.
     """
-    async with running_server() as peer:
-        upstream = upstream_of(peer.port)
+    async with running_server() as server:
+        upstream = upstream_with_endpoint(server.port)
         result = start(upstream)
-        message = await peer.requests.get()
+        message = await server.requests.get()
         response = OK + b"Content-Length: 4\r\n\r\ndone"
         await message.connection.write(response if is_separate else response + excess)
         assert (await result).body == b"done"
-        if is_separate:  # the connection is idle by now
+        if is_separate:  # The connection is already idle.
             await message.connection.write(excess)
         await message.connection.wait_for_close()
         result = start(upstream)
-        await (await peer.requests.get()).answer(200, b"mine")
+        await (await server.requests.get()).answer(200, b"mine")
         assert (await result).body == b"mine"
-        assert peer.connection_count == 2
+        assert server.connection_count == 2
 
 
 @async_test()
-async def test_a_connection_is_not_reused_before_it_has_settled() -> None:
+async def test_a_connection_is_not_reused_before_its_settle_time_is_over() -> None:
     """A duplicate of a response is still on its way when the next request arrives.
 
-    On the same connection, the duplicate would be read as the response to that request.
+    If that request was sent on the same connection, the duplicate would be read as its response.
     """
-    async with running_server() as peer:
-        upstream = upstream_of(peer.port, settle_time_us=60_000_000)
-        first = await serve_one(upstream, peer)
+    async with running_server() as server:
+        upstream = upstream_with_endpoint(server.port, settle_time_us=60_000_000)
+        first = await serve_one(upstream, server)
         result = start(upstream)
-        message = await peer.requests.get()
+        message = await server.requests.get()
         await first.connection.write(OK + b"Content-Length: 4\r\n\r\ncopy")
         await first.connection.wait_for_close()
         await message.answer(200, b"mine")
         assert (await result).body == b"mine"
-        assert peer.connection_count == 2
+        assert server.connection_count == 2
 
 
 @async_test()
-async def test_a_duplicate_response_some_milliseconds_late_reaches_no_other_request() -> None:
-    """A duplicate arrives 6 ms after its response, and the next request before it.
+async def test_a_duplicate_response_that_is_6_ms_late_reaches_no_other_request() -> None:
+    """A duplicate arrives 6 ms after its response, and the next request arrives before the duplicate.
 
-    The time for which the agent lets a connection settle by default is longer than that. Once it is over, the
-    connection of the second request is reused.
+    The default settle time of a connection is longer than 6 ms. When it is over, the connection of the second
+    request is reused.
     """
-    async with asyncio.timeout(20), running_server() as peer:
-        clock = SteppedClock()
+    async with asyncio.timeout(20), running_server() as server:
+        clock = ManualClock()
         pool = ConnectionPool(clock, 10_000_000, 60_000_000, 9)
         upstream = Upstream(clock, LOAD_REPORT_FIELDS, pool)
-        upstream.apply(endpoint_list(member("s", peer.port)))
-        first = await serve_one(upstream, peer)
+        upstream.apply(endpoint_list(member("s", server.port)))
+        first = await serve_one(upstream, server)
         clock.now_us += 6_000
         result = start(upstream)
-        message = await peer.requests.get()
+        message = await server.requests.get()
         await first.connection.write(OK + b"Content-Length: 4\r\n\r\ncopy")
         await first.connection.wait_for_close()
         await message.answer(200, b"mine")
         assert (await result).body == b"mine"
-        assert peer.connection_count == 2
+        assert server.connection_count == 2
         clock.now_us += 40_000
-        await serve_one(upstream, peer)
-        assert peer.connection_count == 2
+        await serve_one(upstream, server)
+        assert server.connection_count == 2
 
 
 @async_test()
-async def test_an_idle_connection_is_closed_before_the_endpoint_does_it() -> None:
-    async with running_server() as peer:
-        upstream = upstream_of(peer.port, idle_timeout_us=50_000)
-        message = await serve_one(upstream, peer)
+async def test_an_idle_connection_is_closed_before_the_endpoint_closes_it() -> None:
+    async with running_server() as server:
+        upstream = upstream_with_endpoint(server.port, idle_timeout_us=50_000)
+        message = await serve_one(upstream, server)
         await message.connection.wait_for_close()
 
 
@@ -442,10 +454,10 @@
 async def test_an_endpoint_that_drains_or_is_removed_or_restarts_loses_its_idle_connections(
     phase: str, up_since_ms: int
 ) -> None:
-    async with running_server() as peer:
-        upstream = upstream_of(peer.port)
-        message = await serve_one(upstream, peer)
-        upstream.apply(endpoint_list(member("s", peer.port, phase, up_since_ms)))
+    async with running_server() as server:
+        upstream = upstream_with_endpoint(server.port)
+        message = await serve_one(upstream, server)
+        upstream.apply(endpoint_list(member("s", server.port, phase, up_since_ms)))
         await message.connection.wait_for_close()
 
 
@@ -454,21 +466,24 @@
 
 @async_test()
 async def test_connections_that_are_being_opened_count_against_the_limit() -> None:
-    """Many requests arrive at once: were only established connections counted, all would open one."""
-    async with running_server() as peer:
-        upstream = upstream_of(peer.port, max_connections=1)
+    """Several requests arrive at the same time.
+
+    If only established connections counted, each request would open one.
+    """
+    async with running_server() as server:
+        upstream = upstream_with_endpoint(server.port, max_connections=1)
         results = [start(upstream) for _ in range(3)]
         assert [(await result).outcome for result in results[1:]] == [Outcome.NOT_SENT] * 2
-        await (await peer.requests.get()).answer()
+        await (await server.requests.get()).answer()
         assert (await results[0]).outcome is Outcome.OK
-        assert peer.connection_count == 1
+        assert server.connection_count == 1
 
 
 @async_test()
-async def test_the_connection_idle_for_longest_is_closed_for_a_new_one() -> None:
-    async with running_server() as peer, running_server() as other:
-        upstream = upstream_of(peer.port, max_connections=1)
-        message = await serve_one(upstream, peer)
+async def test_at_the_limit_the_longest_idle_connection_is_closed_for_a_new_one() -> None:
+    async with running_server() as server, running_server() as other:
+        upstream = upstream_with_endpoint(server.port, max_connections=1)
+        message = await serve_one(upstream, server)
         upstream.apply(endpoint_list(member("t", other.port)))
         result = start(upstream, endpoint_id="t")
         await message.connection.wait_for_close()
@@ -499,9 +514,9 @@
 
 
 @async_test()
-async def test_load_reports_come_with_any_response() -> None:
-    async with running_server() as peer:
-        result = start(upstream_of(peer.port))
-        message = await peer.requests.get()
+async def test_a_load_report_is_read_from_any_response() -> None:
+    async with running_server() as server:
+        result = start(upstream_with_endpoint(server.port))
+        message = await server.requests.get()
         await message.answer(500, b"", Server_Load="inflight=7,queue=2,util=0.61")
         assert (await result).load_report == (7.0, 2.0, 0.61)
