--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the watch goes on, fails once, and an answer that makes no sense is never believed."""
+"""Tests of the client of discovery: its watch, its fetches, and its handling of invalid responses."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
 KNOWN_REVISION = 41
 COMPLETE_LIST_CALL = "GET /catalog/members HTTP/1.1"
-FLEET_SIZE = 6300
-GOOD_ENTRY = member("s", 9)
+LARGE_LIST_SIZE = 6300
+VALID_ENTRY = member("s", 9)
 
 
-def body(revision: int, members: list[dict[str, Any]], complete: bool = False) -> bytes:
+def list_body(revision: int, members: list[dict[str, Any]], complete: bool = False) -> bytes:
     return json.dumps({"revision": revision, "complete": complete, "members": members}).encode()
 
 
-def fleet(count: int) -> list[dict[str, Any]]:
+def many_entries(count: int) -> list[dict[str, Any]]:
     return [member(f"s{i}", 9000 + i % 8) for i in range(count)]
 
 
-class Watched:
-    """A client of discovery, the scripted discovery that it calls, and what the client has reported."""
+class WatchSetup:
+    """A client of discovery, the scripted discovery that it calls, and the reports of the client."""
 
     def __init__(self, discovery: ScriptedServer, long_poll_ms: int) -> None:
         self.discovery = discovery
@@ -54,33 +54,33 @@
     def change_address(self, address: Address) -> None:
         self.client.change_address(address, self.reports.put_nowait)
 
-    async def call(self) -> Message:
-        """The next call that reaches discovery."""
+    async def next_call(self) -> Message:
+        """Wait for the next call that reaches discovery, and return it."""
         return await self.discovery.requests.get()
 
-    async def reported_list(self) -> EndpointList:
-        """The next report, which must not be that of a failure."""
+    async def next_list(self) -> EndpointList:
+        """Wait for the next report, which must be a list and not a failure, and return it."""
         endpoint_list = await self.reports.get()
         assert endpoint_list is not None
         return endpoint_list
 
-    async def until_reading(self, entries: int) -> None:
-        """Wait until so many entries of a large list have been read."""
+    async def wait_until_parsed(self, entries: int) -> None:
+        """Wait until more than this number of entries of a large list have been parsed."""
         while self.parser.cached_entry_count <= entries:
             await asyncio.sleep(0)
 
 
-def address_of(peer: ScriptedServer) -> Address:
-    return Address("127.0.0.1", peer.port)
+def address_of(server: ScriptedServer) -> Address:
+    return Address("127.0.0.1", server.port)
 
 
 @contextlib.asynccontextmanager
-async def watched(long_poll_ms: int = SHARED_LONG_POLL_MS) -> AsyncIterator[Watched]:
-    """A watch that has begun."""
+async def running_watch(long_poll_ms: int = SHARED_LONG_POLL_MS) -> AsyncIterator[WatchSetup]:
+    """Yield a client of discovery whose watch has been started."""
     discovery = await ScriptedServer().start()
-    watched = Watched(discovery, long_poll_ms)
-    watched.watch()
-    yield watched
+    setup = WatchSetup(discovery, long_poll_ms)
+    setup.watch()
+    yield setup
     await discovery.stop()
 
 
@@ -89,59 +89,59 @@
     monkeypatch.setattr(discovery_client_module, "CALL_TIMEOUT_S", 0.05)
 
 
-# The way of a watch
+# The course of a watch
 
 
 @async_test()
 async def test_a_watch_keeps_its_connection_and_reports_changes_only() -> None:
-    async with watched() as w:
-        for revision, members in ((42, []), (43, [GOOD_ENTRY])):
-            call = await w.call()
+    async with running_watch() as setup:
+        for revision, members in ((42, []), (43, [VALID_ENTRY])):
+            call = await setup.next_call()
             assert f"index={revision - 1}&wait=" in call.start_line
-            await call.answer(200, body(revision, members))
-        reported = await w.reported_list()
+            await call.answer(200, list_body(revision, members))
+        reported = await setup.next_list()
         assert reported.revision == 43
         assert reported.entries[0].endpoint.id == "s"
-        call = await w.call()
+        call = await setup.next_call()
         assert "index=43&" in call.start_line
-        assert w.discovery.connection_count == 1
-        assert w.reports.empty()
-        w.watch()  # while a watch runs: no second call
+        assert setup.discovery.connection_count == 1
+        assert setup.reports.empty()
+        setup.watch()  # This makes no second call, because a watch is running.
         await call.answer(503, b"")
-        assert await w.reports.get() is None
-        assert w.discovery.requests.empty()
-        assert w.reports.empty()
+        assert await setup.reports.get() is None
+        assert setup.discovery.requests.empty()
+        assert setup.reports.empty()
 
 
 @async_test()
 async def test_a_connection_that_discovery_closes_is_replaced() -> None:
-    async with watched() as w:
-        first = await w.call()
-        await first.answer(200, body(42, []), Connection="close")
-        assert "index=42&" in (await w.call()).start_line
-        await first.connection.wait_for_close()  # the old connection is not left open
-        assert w.discovery.connection_count == 2
-        assert w.reports.empty()
+    async with running_watch() as setup:
+        first = await setup.next_call()
+        await first.answer(200, list_body(42, []), Connection="close")
+        assert "index=42&" in (await setup.next_call()).start_line
+        await first.connection.wait_for_close()  # The client has closed the old connection.
+        assert setup.discovery.connection_count == 2
+        assert setup.reports.empty()
 
 
 @async_test()
-async def test_the_balancer_learns_of_changes_and_watches_again_after_a_failure(tmp_path: Path) -> None:
-    async with loopback_setup(tmp_path, endpoints=0) as w:
-        (await w.discovery.requests.get()).connection.reset()
+async def test_the_agent_watches_again_after_a_failure_and_uses_a_new_endpoint(tmp_path: Path) -> None:
+    async with loopback_setup(tmp_path, endpoints=0) as setup:
+        (await setup.discovery.requests.get()).connection.reset()
         new = await ScriptedServer().start()
-        client = await w.send_request(post())  # it waits: there is no endpoint to send it to
-        call = await w.discovery.requests.get()
-        await call.answer(200, body(42, [member("new", new.port)]))
+        client = await setup.send_request(post())  # The request waits, because no endpoint is listed.
+        call = await setup.discovery.requests.get()
+        await call.answer(200, list_body(42, [member("new", new.port)]))
         await (await new.requests.get()).answer()
         assert (await client.read()).status == 200
         await new.stop()
 
 
-# Answers that make no sense
+# Invalid responses
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"",
         b"{",
@@ -155,107 +155,111 @@
     ],
 )
 @async_test()
-async def test_an_answer_that_is_no_list_is_a_failed_call(answer: bytes) -> None:
-    async with watched() as w:
-        await (await w.call()).answer(200, answer)
-        assert await w.reports.get() is None
-        w.watch()
-        call = await w.call()
+async def test_a_response_that_is_not_a_list_is_a_failed_call(response: bytes) -> None:
+    async with running_watch() as setup:
+        await (await setup.next_call()).answer(200, response)
+        assert await setup.reports.get() is None
+        setup.watch()
+        call = await setup.next_call()
         assert "index=41&" in call.start_line
-        await call.answer(200, body(42, [GOOD_ENTRY], complete=True))
-        assert (await w.reported_list()).complete
+        await call.answer(200, list_body(42, [VALID_ENTRY], complete=True))
+        assert (await setup.next_list()).complete
 
 
 @async_test()
-async def test_an_entry_that_makes_no_sense_harms_itself_only() -> None:
-    # The agent once refused a list with a bad entry as a whole. Discovery sent the same list in answer to
-    # each further call, so that the agent no longer learned of endpoints that began to drain.
-    async with watched() as w:
-        bad_entries: list[Any] = [
+async def test_an_invalid_entry_affects_only_its_own_endpoint() -> None:
+    # The agent once rejected the whole list if one entry was invalid. Discovery sent the same list in
+    # response to each further call, so that the agent no longer learned of endpoints that began to drain.
+    async with running_watch() as setup:
+        invalid_entries: list[Any] = [
             {},
             7,
-            GOOD_ENTRY | {"id": "b", "phase": "WELL"},
-            GOOD_ENTRY | {"id": "c", "host_port": "nowhere"},
-            GOOD_ENTRY | {"id": "e", "up_since_ms": [1]},
-            GOOD_ENTRY | {"id": "f", "size": float("inf")},
+            VALID_ENTRY | {"id": "b", "phase": "WELL"},
+            VALID_ENTRY | {"id": "c", "host_port": "nowhere"},
+            VALID_ENTRY | {"id": "e", "up_since_ms": [1]},
+            VALID_ENTRY | {"id": "f", "size": float("inf")},
         ]
         draining = member("d", 9, "DRAINING")
-        members = [*bad_entries[:3], GOOD_ENTRY, *bad_entries[3:], draining]
-        await (await w.call()).answer(200, body(42, members))
-        reported = await w.reported_list()
+        members = [*invalid_entries[:3], VALID_ENTRY, *invalid_entries[3:], draining]
+        await (await setup.next_call()).answer(200, list_body(42, members))
+        reported = await setup.next_list()
         assert reported.revision == 42
         status = {str(entry.endpoint.id): entry.endpoint.status for entry in reported.entries}
         assert status.pop("s") is EndpointStatus.READY
         assert status.pop("d") is EndpointStatus.DRAINING
-        # What discovery says of the others is not known: they are sent nothing new.
+        # The state of the other endpoints is unknown, so they are treated as removed and get no new requests.
         assert set(status) == set("bcef")
         assert set(status.values()) == {EndpointStatus.REMOVED}
 
 
 @async_test()
 async def test_an_older_list_does_not_undo_a_newer_one() -> None:
-    async with watched() as w:
-        await (await w.call()).answer(200, body(42, [member("s", 9, "DRAINING")]))
-        assert (await w.reported_list()) is not None
-        await (await w.call()).answer(200, body(40, [GOOD_ENTRY]))
-        assert await w.reports.get() is None  # a failed call, and the next is for the complete list
-        w.watch()
-        call = await w.call()
+    async with running_watch() as setup:
+        await (await setup.next_call()).answer(200, list_body(42, [member("s", 9, "DRAINING")]))
+        assert (await setup.next_list()) is not None
+        await (await setup.next_call()).answer(200, list_body(40, [VALID_ENTRY]))
+        # The call counts as failed, so the next one asks for the complete list.
+        assert await setup.reports.get() is None
+        setup.watch()
+        call = await setup.next_call()
         assert call.start_line == COMPLETE_LIST_CALL
-        await call.answer(200, body(3, [GOOD_ENTRY], complete=True))  # discovery counts from the start again
-        assert (await w.reported_list()).revision == 3
-        assert "index=3&" in (await w.call()).start_line
+        # Discovery has restarted its count of revisions.
+        await call.answer(200, list_body(3, [VALID_ENTRY], complete=True))
+        assert (await setup.next_list()).revision == 3
+        assert "index=3&" in (await setup.next_call()).start_line
 
 
-# Silence: a discovery that is cut off and closes no connection
+# A discovery that is cut off from the network: it closes no connection, but sends no response
 
 
-@pytest.mark.parametrize("begun", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"])
+@pytest.mark.parametrize("partial_response", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"])
 @async_test()
-async def test_a_watch_that_falls_silent_is_replaced_shortly_after_its_wait(begun: bytes) -> None:
-    # The agent once gave a silent long poll up 2 s after its wait. What the poll had missed counted as
-    # notified at that very time, and only then did the next call begin.
-    async with watched(long_poll_ms=30) as w:
-        unanswered = await w.call()
+async def test_a_long_poll_without_a_response_is_replaced_shortly_after_its_wait(
+    partial_response: bytes,
+) -> None:
+    # The agent once gave up a long poll that got no response only 2 s after its wait. The changes that the
+    # poll had missed counted as notified at that time, but only then did the next call begin.
+    async with running_watch(long_poll_ms=30) as setup:
+        unanswered = await setup.next_call()
         assert "&wait=30 " in unanswered.start_line
-        await unanswered.connection.write(begun)
+        await unanswered.connection.write(partial_response)
         async with asyncio.timeout(1.7):
-            call = await w.call()
+            call = await setup.next_call()
         await unanswered.connection.wait_for_close()
-        # On a new connection, at once, and without waiting for what was missed.
+        # The next call follows immediately, on a new connection, and asks for an immediate response.
         assert "index=41&wait=1 " in call.start_line
-        assert w.discovery.connection_count == 2
-        await call.answer(200, body(42, [GOOD_ENTRY]))
-        assert (await w.reported_list()).revision == 42
-        assert w.reports.empty()
-        assert "index=42&wait=30 " in (await w.call()).start_line
-        assert w.discovery.connection_count == 2
+        assert setup.discovery.connection_count == 2
+        await call.answer(200, list_body(42, [VALID_ENTRY]))
+        assert (await setup.next_list()).revision == 42
+        assert setup.reports.empty()
+        assert "index=42&wait=30 " in (await setup.next_call()).start_line
+        assert setup.discovery.connection_count == 2
 
 
 @pytest.mark.usefixtures("short_call_timeout")
 @async_test()
-async def test_a_watch_that_is_silent_on_its_new_connection_too_has_failed() -> None:
-    async with watched(long_poll_ms=30) as w:
-        assert "&wait=30 " in (await w.call()).start_line
-        assert "&wait=1 " in (await w.call()).start_line
-        assert await w.reports.get() is None
-        assert w.discovery.requests.empty()
+async def test_a_watch_without_a_response_on_its_new_connection_either_has_failed() -> None:
+    async with running_watch(long_poll_ms=30) as setup:
+        assert "&wait=30 " in (await setup.next_call()).start_line
+        assert "&wait=1 " in (await setup.next_call()).start_line
+        assert await setup.reports.get() is None
+        assert setup.discovery.requests.empty()
 
 
 @pytest.mark.usefixtures("short_call_timeout")
 @async_test()
 async def test_at_a_shared_discovery_the_call_after_a_failed_one_does_not_wait(tmp_path: Path) -> None:
-    # The first call after an outage began may never be answered. When it was a long poll, that was found out
-    # after up to 20.5 s, while changes count as notified much earlier.
-    async with loopback_setup(tmp_path, endpoints=0) as w:
-        await (await w.discovery.requests.get()).answer(503, b"")
-        unanswered = await w.discovery.requests.get()
+    # The first call after the beginning of an outage may get no response. When that call was still a long
+    # poll, this was detected only after up to 20.5 s, whereas changes count as notified much earlier.
+    async with loopback_setup(tmp_path, endpoints=0) as setup:
+        await (await setup.discovery.requests.get()).answer(503, b"")
+        unanswered = await setup.discovery.requests.get()
         assert "index=41&wait=1 " in unanswered.start_line
         await unanswered.connection.wait_for_close()
-        call = await w.discovery.requests.get()
+        call = await setup.discovery.requests.get()
         assert "index=41&wait=1 " in call.start_line
-        await call.answer(200, body(42, [GOOD_ENTRY]))
-        call = await w.discovery.requests.get()
+        await call.answer(200, list_body(42, [VALID_ENTRY]))
+        call = await setup.discovery.requests.get()
         assert "index=42&wait=" in call.start_line
         assert "&wait=1 " not in call.start_line
 
@@ -263,25 +267,25 @@
 @pytest.mark.usefixtures("short_call_timeout")
 @pytest.mark.parametrize("revision", [0, None])
 @async_test(timeout_s=5.0)
-async def test_a_connection_that_does_not_open_is_given_up_however_long_the_settings_allow(
+async def test_a_connect_is_given_up_after_the_call_timeout_even_if_the_settings_allow_longer(
     revision: int | None,
 ) -> None:
-    with socket.socket() as full, contextlib.ExitStack() as queued:
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        for _ in range(8):  # nothing is accepted: when the queue is full, the next connection hangs
+    with socket.socket() as listener, contextlib.ExitStack() as queued:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
+        for _ in range(8):  # No connection is accepted, so the next one hangs when the accept queue is full.
             queued_socket = queued.enter_context(socket.socket())
             queued_socket.setblocking(False)
-            queued_socket.connect_ex(full.getsockname())
+            queued_socket.connect_ex(listener.getsockname())
         reports = asyncio.Queue[EndpointList | None]()
         parser = EndpointListParser(Clock(), ("a",))
-        address = Address(*full.getsockname())
+        address = Address(*listener.getsockname())
         DiscoveryClient(address, parser, revision, connect_timeout_s=60.0).watch(reports.put_nowait)
         assert await reports.get() is None
 
 
 async def first_waits_ms(folder: Path, mode: str) -> list[int]:
-    """The wait in the first call of each of twenty agents."""
+    """Return the waits that 20 agents with different seeds state in their first calls."""
     waits_ms = []
     for number in range(20):
         discovery = await ScriptedServer().start()
@@ -291,15 +295,15 @@
         config = load_config(folder, document, clock)
         agent, _ = assemble(config, clock)
         agent.start(config.known_list)
-        first = (await discovery.requests.get()).start_line
-        waits_ms.append(int(first.partition("&wait=")[2].split()[0]))
+        start_line = (await discovery.requests.get()).start_line
+        waits_ms.append(int(start_line.partition("&wait=")[2].split()[0]))
         await discovery.stop()
     return waits_ms
 
 
-def test_at_a_shared_discovery_the_waits_of_the_agents_do_not_end_together(tmp_path: Path) -> None:
-    # The watches of six agents once fell silent at the same time and were replaced at the same time. Their
-    # calls had to wait for each other, until changes counted as notified.
+def test_at_a_shared_discovery_the_agents_have_different_waits(tmp_path: Path) -> None:
+    # The watches of six agents once stopped getting responses at the same time and were replaced at the same
+    # time. Their calls had to wait for each other, until changes already counted as notified.
     waits_ms = asyncio.run(first_waits_ms(tmp_path, "ask"))
     assert min(waits_ms) >= 10_000
     assert max(waits_ms) <= 20_000
@@ -308,62 +312,64 @@
     assert max(asyncio.run(first_waits_ms(tmp_path, "push"))) <= 4_000
 
 
-# Watch, fetch and a change of address that cross
+# Watches, fetches and changes of address at the same time
 
 
 @pytest.mark.parametrize("fetch_first", [True, False])
 @async_test()
-async def test_a_fetch_and_a_watch_that_cross_end_at_the_newer_list(fetch_first: bool) -> None:
-    async with watched() as w:
-        watch = await w.call()
-        w.fetch()
-        fetch = await w.call()
+async def test_a_fetch_and_a_watch_at_the_same_time_keep_the_newer_list(fetch_first: bool) -> None:
+    async with running_watch() as setup:
+        watch = await setup.next_call()
+        setup.fetch()
+        fetch = await setup.next_call()
         if fetch_first:
-            await fetch.answer(200, body(43, [member("s", 9, "DRAINING")], complete=True))
-            assert (await w.reported_list()).revision == 43
-            await watch.answer(200, body(42, [GOOD_ENTRY]))
+            await fetch.answer(200, list_body(43, [member("s", 9, "DRAINING")], complete=True))
+            assert (await setup.next_list()).revision == 43
+            await watch.answer(200, list_body(42, [VALID_ENTRY]))
         else:
-            await watch.answer(200, body(43, [member("s", 9, "DRAINING")]))
-            assert (await w.reported_list()).revision == 43
-            await fetch.answer(200, body(42, [GOOD_ENTRY], complete=True))
-        assert await w.reports.get() is None
+            await watch.answer(200, list_body(43, [member("s", 9, "DRAINING")]))
+            assert (await setup.next_list()).revision == 43
+            await fetch.answer(200, list_body(42, [VALID_ENTRY], complete=True))
+        assert await setup.reports.get() is None
 
 
 @async_test()
-async def test_a_change_of_address_while_a_large_list_is_read_leaves_nothing_of_it() -> None:
-    async with watched() as w:
+async def test_a_list_that_is_being_parsed_is_dropped_if_the_address_changes() -> None:
+    async with running_watch() as setup:
         new = await ScriptedServer().start()
-        await (await w.call()).answer(200, body(50, fleet(FLEET_SIZE), complete=True))
-        await w.until_reading(entries=100)
-        assert w.reports.empty()
-        assert w.parser.cached_entry_count < FLEET_SIZE
-        w.change_address(address_of(new))
+        await (await setup.next_call()).answer(
+            200, list_body(50, many_entries(LARGE_LIST_SIZE), complete=True)
+        )
+        await setup.wait_until_parsed(entries=100)
+        assert setup.reports.empty()
+        assert setup.parser.cached_entry_count < LARGE_LIST_SIZE
+        setup.change_address(address_of(new))
         call = await new.requests.get()
         assert call.start_line.startswith("GET /catalog/members HTTP")
-        await call.answer(200, body(3, fleet(5), complete=True))
-        reported = await w.reported_list()
+        await call.answer(200, list_body(3, many_entries(5), complete=True))
+        reported = await setup.next_list()
         assert (reported.revision, len(reported.entries)) == (3, 5)
-        assert w.reports.empty()
-        w.change_address(address_of(w.discovery))  # ends the watch there
+        assert setup.reports.empty()
+        setup.change_address(address_of(setup.discovery))  # This ends the watch at the new address.
         await new.stop()
 
 
 @async_test()
-async def test_an_older_complete_list_that_is_read_while_a_newer_one_arrives_changes_nothing() -> None:
-    async with watched() as w:
-        watch = await w.call()
-        w.fetch()
-        fetch = await w.call()
-        await watch.answer(200, body(50, fleet(FLEET_SIZE), complete=True))
-        await w.until_reading(entries=100)
-        await fetch.answer(200, body(51, fleet(5), complete=True))
-        reported = await w.reported_list()
+async def test_an_older_list_that_is_being_parsed_is_dropped_if_a_newer_one_arrives() -> None:
+    async with running_watch() as setup:
+        watch = await setup.next_call()
+        setup.fetch()
+        fetch = await setup.next_call()
+        await watch.answer(200, list_body(50, many_entries(LARGE_LIST_SIZE), complete=True))
+        await setup.wait_until_parsed(entries=100)
+        await fetch.answer(200, list_body(51, many_entries(5), complete=True))
+        reported = await setup.next_list()
         assert (reported.revision, len(reported.entries)) == (51, 5)
-        assert await w.reports.get() is None
-        assert w.reports.empty()
-        w.watch()  # the call of the older list began before the newer one was known: now the complete list
-        call = await w.call()
+        assert await setup.reports.get() is None
+        assert setup.reports.empty()
+        setup.watch()  # The older list made the watch fail, so the next call asks for the complete list.
+        call = await setup.next_call()
         assert call.start_line.startswith("GET /catalog/members HTTP")
-        await call.answer(200, body(51, fleet(5), complete=True))
-        await w.reports.get()
-        w.change_address(Address("127.0.0.1", 9))
+        await call.answer(200, list_body(51, many_entries(5), complete=True))
+        await setup.reports.get()
+        setup.change_address(Address("127.0.0.1", 9))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the agent goes on, and changes to the discovery that its configuration now names."""
+"""Tests of SIGHUP: the agent continues to run, and uses the discovery that its configuration now names."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def complete_list_call(discovery: ScriptedServer) -> Message:
-    """The next call to discovery, which must be for the complete list."""
+    """Wait for the next call to discovery, which must ask for the complete list, and return it."""
     call = await discovery.requests.get()
     assert call.start_line == "GET /catalog/members HTTP/1.1"
     return call
@@ -22,11 +22,11 @@
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
 @async_test()
-async def test_discovery_is_watched_from_every_start_on(tmp_path: Path, mode: str) -> None:
+async def test_the_agent_watches_discovery_after_every_start(tmp_path: Path, mode: str) -> None:
     async with started_peers(3) as (discovery, first, second):
         document = config_doc(discovery.port, [member("a", first.port)])
         document["settings"]["registryMode"] = mode
-        for _ in range(2):  # a restart begins with the same old list
+        for _ in range(2):  # The second start begins with the same outdated list as the first.
             async with agent_process(tmp_path, document) as agent:
                 call = await discovery.requests.get()
                 assert call.start_line.startswith("GET /catalog/members?index=41&wait=")
@@ -42,7 +42,7 @@
 
 
 @async_test()
-async def test_a_reload_changes_to_the_new_discovery_and_keeps_connections_and_requests(
+async def test_a_reload_switches_to_the_new_discovery_and_keeps_connections_and_requests(
     tmp_path: Path,
 ) -> None:
     async with started_peers(4) as (old, new, first, second):
@@ -60,7 +60,7 @@
             assert "index=7&" in (await new.requests.get()).start_line
             await in_flight.answer()
             assert (await client.read()).status == 200
-            # An endpoint that the new list does not name is removed.
+            # The first endpoint was removed, because the new list does not name it.
             await client.write(post())
             await (await second.requests.get()).answer()
             assert (await client.read()).status == 200
@@ -70,7 +70,7 @@
 
 
 @async_test()
-async def test_an_unusable_file_changes_nothing_and_of_several_reloads_the_last_one_counts(
+async def test_an_invalid_file_changes_nothing_and_the_last_of_several_reloads_takes_effect(
     tmp_path: Path,
 ) -> None:
     async with started_peers(3) as (old, between, last):
@@ -89,11 +89,13 @@
             await call.answer(200, complete_list(3))
             assert "index=3&" in (await last.requests.get()).start_line
             agent.process.send_signal(signal.SIGHUP)
-            await agent.stop()  # at once after the reload
+            await agent.stop()  # The agent is stopped immediately after the last reload.
 
 
 @async_test()
-async def test_a_new_discovery_that_fails_is_called_for_the_complete_list_again(tmp_path: Path) -> None:
+async def test_after_a_failed_call_a_new_discovery_is_asked_for_the_complete_list_again(
+    tmp_path: Path,
+) -> None:
     async with started_peers(2) as (old, new):
         document = config_doc(old.port, [])
         async with agent_process(tmp_path, document) as agent:
