--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -261,11 +261,11 @@
             return self._compare(request)
         time_left_us = self.admission.time_left_us(request, now_us)
         until_us = now_us + min(self.probing.max_age_us, time_left_us)
-        return self._schedule(until_us, self._on_probe_timeout, (request, request.probed_pairs))
+        return self._schedule(until_us, self._on_probe_timeout, (request, request.probed_pair_count))
 
     def _on_probe_timeout(self, argument: tuple[Request, int]) -> None:
-        request, probed_pairs = argument
-        is_same_pair = request.candidates is not None and request.probed_pairs == probed_pairs
+        request, probed_pair_count = argument
+        is_same_pair = request.candidates is not None and request.probed_pair_count == probed_pair_count
         if is_same_pair and not request.is_done:
             self._compare(request)
 
@@ -302,7 +302,7 @@
         ]
         if eligible and admission.time_left_us(request, now_us) > 0:
             self._send(request, self.sampler.lighter((eligible[0], eligible[-1]), now_us))
-        elif request.probed_pairs < request.max_probed_pairs:
+        elif request.probed_pair_count < request.max_probed_pairs:
             self._advance(request)
         else:
             self._wait_or_finish(request)
--- a/nickelmount/balancer/probing.py
+++ b/nickelmount/balancer/probing.py
@@ -51,7 +51,7 @@
                 to_probe.append(endpoint)
             endpoint.probe_waiters.append(request)
         if request.unanswered_probes:
-            request.probed_pairs += 1
+            request.probed_pair_count += 1
         return to_probe
 
     def ended(self, endpoint: TrackedEndpoint, has_load: bool) -> Iterator[Request]:
@@ -75,4 +75,4 @@
 
     def keep_waiting(self, request: Request) -> None:
         """Allow as many pairs again for a request that waits for a place."""
-        request.max_probed_pairs = request.probed_pairs + MAX_PROBED_PAIRS
+        request.max_probed_pairs = request.probed_pair_count + MAX_PROBED_PAIRS
--- a/nickelmount/balancer/request.py
+++ b/nickelmount/balancer/request.py
@@ -62,7 +62,7 @@
         "max_probed_pairs",
         "may_have_run",
         "objective_at_us",
-        "probed_pairs",
+        "probed_pair_count",
         "relative_cost",
         "request_class",
         "unanswered_probes",
@@ -94,5 +94,5 @@
         # probing.py
         self.candidates: tuple[TrackedEndpoint, TrackedEndpoint] | None = None  # samples that are probed
         self.unanswered_probes: list[TrackedEndpoint] = []  # those of them whose load has not come yet
-        self.probed_pairs = 0
+        self.probed_pair_count = 0
         self.max_probed_pairs = max_probed_pairs
--- a/tests/balancer_driver.py
+++ b/tests/balancer_driver.py
@@ -46,12 +46,12 @@
         self.settings = Settings(classes=(request_class, *other_classes), tick_us=MS, **settings)
         self.balancer = Balancer(self.settings, seed)
         self.now = SECOND
-        self.log: list[Action] = []
+        self.actions: list[Action] = []
         self.timers: list[tuple[int, int]] = []
-        self.requests = 0
-        self.attempts: dict[int, int] = {}
-        self.listed = [Endpoint(f"s{i}", zone=i % 2, cell=i % 3) for i in range(endpoint_count)]
-        self.event(EndpointsChanged(ListUpdateKind.CACHED, list(self.listed)))
+        self.request_count = 0
+        self.latest_attempts: dict[int, int] = {}
+        self.initial_endpoints = [Endpoint(f"s{i}", zone=i % 2, cell=i % 3) for i in range(endpoint_count)]
+        self.event(EndpointsChanged(ListUpdateKind.CACHED, list(self.initial_endpoints)))
 
     def event(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
@@ -59,13 +59,13 @@
             if isinstance(a, SetTimer):
                 self.timers.append((self.now + a.delay_us, a.token))
             if isinstance(a, SendAttempt):
-                self.attempts[a.request_id] = self.attempts.get(a.request_id, -1) + 1
-        self.log += actions
+                self.latest_attempts[a.request_id] = self.latest_attempts.get(a.request_id, -1) + 1
+        self.actions += actions
         return actions
 
     def request(self, timeout_us: int = SECOND, tenant: int = 0) -> tuple[int, list[Action]]:
-        self.requests += 1
-        return self.requests, self.event(RequestArrived(self.requests, 0, timeout_us, tenant))
+        self.request_count += 1
+        return self.request_count, self.event(RequestArrived(self.request_count, 0, timeout_us, tenant))
 
     def end_attempt(
         self,
@@ -75,7 +75,7 @@
         attempt: int | None = None,
         load_report: tuple[float, ...] = (),
     ) -> list[Action]:
-        n = self.attempts[send.request_id] if attempt is None else attempt
+        n = self.latest_attempts[send.request_id] if attempt is None else attempt
         done = outcome is Outcome.OK
         return self.event(
             AttemptEnded(send.request_id, n, send.endpoint_id, outcome, latency_us, done, load_report)
@@ -111,14 +111,18 @@
 
 
 def final_answers(driver: BalancerDriver, request: int) -> list[object]:
-    return [a for a in driver.log if isinstance(a, RejectRequest | FailRequest) and a.request_id == request]
+    return [
+        a for a in driver.actions if isinstance(a, RejectRequest | FailRequest) and a.request_id == request
+    ]
 
 
-def serve_reporting(driver: BalancerDriver, count: int, held: float = 1.0) -> None:
+def serve_with_load_reports(driver: BalancerDriver, count: int, reported_load: float = 1.0) -> None:
     """So many requests answered at once, each answer reporting what the endpoint holds."""
     for _ in range(count):
         for s in of_type(driver.request()[1], SendAttempt):
-            driver.end_attempt(s, Outcome.OK, int(20 * MS * max(1.0, held)), load_report=(held,))
+            driver.end_attempt(
+                s, Outcome.OK, int(20 * MS * max(1.0, reported_load)), load_report=(reported_load,)
+            )
         driver.advance(5 * MS)
 
 
@@ -131,6 +135,6 @@
     return out
 
 
-def serve_overloaded(driver: BalancerDriver, count: int) -> None:
+def serve_with_overload_reports(driver: BalancerDriver, count: int) -> None:
     """Answers, each of which reports an endpoint that is far too full."""
-    serve_reporting(driver, count, held=30.0)
+    serve_with_load_reports(driver, count, reported_load=30.0)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,7 +9,15 @@
 from nickelmount.balancer.gossip import MESSAGE
 from nickelmount.balancer.settings import Idempotency, RequestClass
 
-from .balancer_driver import INFLIGHT, MS, NON_IDEMPOTENT, SECOND, BalancerDriver, of_type, serve_reporting
+from .balancer_driver import (
+    INFLIGHT,
+    MS,
+    NON_IDEMPOTENT,
+    SECOND,
+    BalancerDriver,
+    of_type,
+    serve_with_load_reports,
+)
 
 TILE = RequestClass("tile", 500 * MS, 2 * SECOND, Idempotency.NEVER, priority_weight=3.0)
 
@@ -21,9 +29,9 @@
     """How many of so many requests, none of which is answered, are sent to an endpoint."""
     sent = 0
     for _ in range(count):
-        driver.requests += 1
+        driver.request_count += 1
         sent += len(
-            of_type(driver.event(RequestArrived(driver.requests, request_class, SECOND)), SendAttempt)
+            of_type(driver.event(RequestArrived(driver.request_count, request_class, SECOND)), SendAttempt)
         )
         driver.advance(30 * MS)
     return sent
@@ -48,7 +56,7 @@
 def test_an_answer_makes_a_place_for_the_next_request() -> None:
     driver = BalancerDriver(TILE, endpoint_count=60, instance_count=40, other_classes=(ORDER,))
     sent_without_answer(driver, 0, 30)
-    first = of_type(driver.log, SendAttempt)[0]
+    first = of_type(driver.actions, SendAttempt)[0]
     assert sent_without_answer(driver, 0, 3) == 0
     driver.end_attempt(first, Outcome.OK, 900 * MS)
     assert (
@@ -86,7 +94,7 @@
         driver = BalancerDriver(
             TILE, endpoint_count=120, load_report_fields=INFLIGHT, instance_count=200, other_classes=(ORDER,)
         )
-        serve_reporting(driver, 300, told)
+        serve_with_load_reports(driver, 300, told)
         driver.advance(8 * SECOND)
         held[told] = sent_without_answer(driver, 0, 8)
     assert held[1.0] >= 4
@@ -110,7 +118,7 @@
             for s in of_type(driver.request()[1], SendAttempt):
                 driver.end_attempt(s, Outcome.OK, 20 * MS, load_report=(4.5,))
             driver.advance(12 * MS)
-        driver.update_list(*driver.listed[:left], kind=ListUpdateKind.FULL)
+        driver.update_list(*driver.initial_endpoints[:left], kind=ListUpdateKind.FULL)
         held[left] = sent_without_answer(driver, 0, 60)
     assert 0 < held[48] <= 0.6 * held[120]
 
@@ -133,12 +141,12 @@
     sent = dict.fromkeys((c.name for c in classes), 0)
     for step in range(600):
         if step == 100:
-            driver.update_list(*driver.listed[:15], kind=ListUpdateKind.FULL)
+            driver.update_list(*driver.initial_endpoints[:15], kind=ListUpdateKind.FULL)
         came = [i for i, c in enumerate(classes) for _ in range(3 if c.priority_weight == most else 1)]
         rng.shuffle(came)
         for index in came:
-            driver.requests += 1
-            got = of_type(driver.event(RequestArrived(driver.requests, index, SECOND)), SendAttempt)
+            driver.request_count += 1
+            got = of_type(driver.event(RequestArrived(driver.request_count, index, SECOND)), SendAttempt)
             out += [(driver.now, s) for s in got]
             sent[classes[index].name] += len(got) if step >= 200 else 0
         driver.advance(30 * MS)
@@ -268,10 +276,10 @@
         driver = BalancerDriver(endpoint_count=4, load_report_fields=("inflight",))
         for _ in range(12):
             number, actions = (
-                driver.requests + 1,
-                driver.event(RequestArrived(driver.requests + 1, 0, SECOND, cost_us=MS)),
+                driver.request_count + 1,
+                driver.event(RequestArrived(driver.request_count + 1, 0, SECOND, cost_us=MS)),
             )
-            driver.requests = number
+            driver.request_count = number
             driver.end_attempt(
                 of_type(actions, SendAttempt)[0], Outcome.OK, 100 * MS, load_report=(held + 1.0,)
             )
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -49,7 +49,7 @@
         for s in of_type(actions, SendAttempt):
             driver.end_attempt(s, Outcome.RESET)
         driver.advance(100 * MS)
-    assert len(of_type(driver.log, SendAttempt)) >= 4
+    assert len(of_type(driver.actions, SendAttempt)) >= 4
 
 
 @pytest.mark.parametrize(
@@ -95,7 +95,7 @@
         pending = of_type(driver.end_attempt(pending[0], outcome), SendAttempt)
     driver.advance(2 * SECOND)
     assert len(final_answers(driver, request)) == 1
-    assert len([a for a in driver.log if isinstance(a, SendAttempt)]) <= 3
+    assert len([a for a in driver.actions if isinstance(a, SendAttempt)]) <= 3
 
 
 def test_a_timeout_at_the_clients_time_is_answered_at_once() -> None:
@@ -123,6 +123,6 @@
     driver.end_attempt(send, Outcome.ERROR)
     driver.advance(2 * SECOND)
     assert not final_answers(driver, request)
-    assert len(of_type(driver.log, SendAttempt)) == 1
+    assert len(of_type(driver.actions, SendAttempt)) == 1
     driver.event(ClientDisconnected(request))  # known no more: ignored
     driver.end_attempt(send, Outcome.ERROR)
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -22,9 +22,9 @@
 
 def test_a_failed_list_call_is_repeated_soon_and_only_then() -> None:
     driver = BalancerDriver(discovery_mode=DiscoveryMode.POLL)
-    assert len(of_type(driver.log, WatchEndpoints)) == 1
+    assert len(of_type(driver.actions, WatchEndpoints)) == 1
     driver.advance(10 * SECOND)
-    assert len(of_type(driver.log, WatchEndpoints)) == 1
+    assert len(of_type(driver.actions, WatchEndpoints)) == 1
     driver.event(EndpointsChanged(ListUpdateKind.FAILED, []))
     assert len(of_type(driver.advance(SECOND), WatchEndpoints)) == 1
 
@@ -41,7 +41,7 @@
             instance_index=seed,
             discovery_mode=DiscoveryMode.POLL,
         )
-        asked = list(driver.log)
+        asked = list(driver.actions)
         for _ in range(seconds * 100):
             if of_type(asked, WatchEndpoints):
                 calls.append((driver.now - SECOND) / SECOND)
@@ -75,7 +75,7 @@
             discovery_mode=DiscoveryMode.POLL,
             notified_after_us=6 * SECOND,
         )
-        assert of_type(driver.log + driver.advance(3 * SECOND), WatchEndpoints)
+        assert of_type(driver.actions + driver.advance(3 * SECOND), WatchEndpoints)
         for _ in range(6):
             driver.update_list(kind=ListUpdateKind.FAILED)
             assert of_type(driver.advance(9 * SECOND), WatchEndpoints)
@@ -111,7 +111,7 @@
             notified_after_us=TOLD_US,
             list_call_timeout_us=CALL_US,
         )
-        if not of_type(driver.log, WatchEndpoints):
+        if not of_type(driver.actions, WatchEndpoints):
             next_call(driver)
         driver.now, calls = 10 * SECOND, list[int]()
         driver.update_list(kind=ListUpdateKind.FAILED)
@@ -155,7 +155,7 @@
         discovery_mode=DiscoveryMode.POLL,
         discovery_is_local=True,
     )
-    assert of_type(driver.log, WatchEndpoints)
+    assert of_type(driver.actions, WatchEndpoints)
     for _ in range(6):
         driver.update_list(kind=ListUpdateKind.FAILED)
         assert of_type(driver.advance(3 * SECOND), WatchEndpoints)
@@ -183,7 +183,7 @@
     driver = BalancerDriver(
         NON_IDEMPOTENT, endpoint_count=2, instance_count=4, discovery_mode=DiscoveryMode.POLL
     )
-    assert of_type(driver.log, WatchEndpoints)
+    assert of_type(driver.actions, WatchEndpoints)
 
 
 def test_where_the_list_is_pushed_a_large_fleet_watches_it_from_the_start(tmp_path: Path) -> None:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -23,7 +23,7 @@
         driver.advance(MS)
     told = of_type(
         driver.end_attempt(
-            of_type(driver.log, SendAttempt)[0], Outcome.OK, 10 * MS, load_report=(9.0,), attempt=0
+            of_type(driver.actions, SendAttempt)[0], Outcome.OK, 10 * MS, load_report=(9.0,), attempt=0
         ),
         SendGossip,
     )
@@ -31,7 +31,7 @@
     driver.request()
     told = of_type(
         driver.end_attempt(
-            of_type(driver.log, SendAttempt)[1], Outcome.OK, 10 * MS, load_report=(9.0,), attempt=0
+            of_type(driver.actions, SendAttempt)[1], Outcome.OK, 10 * MS, load_report=(9.0,), attempt=0
         ),
         SendGossip,
     )
@@ -55,7 +55,7 @@
     )
     for _ in range(6):
         driver.end_attempt(of_type(driver.request()[1], SendAttempt)[0], Outcome.OK, load_report=(9.0,))
-    note = of_type(driver.log, SendGossip)[0].payload
+    note = of_type(driver.actions, SendGossip)[0].payload
     empty = BalancerDriver(
         endpoint_count=0, load_report_fields=("inflight",), can_gossip=True, instance_count=5
     )
@@ -70,7 +70,7 @@
     )
     tags = {s.id: tag for tag, s in driver.balancer.endpoints.by_gossip_tag.items()}
     for _ in range(20):
-        for b in driver.listed[1:]:
+        for b in driver.initial_endpoints[1:]:
             driver.event(GossipReceived(1, MESSAGE.pack(tags[b.id], 1, 0)))
         driver.advance(SECOND)
     sent = [s.endpoint_id for _ in range(600) for s in of_type(driver.request()[1], SendAttempt)]
--- a/tests/test_load_table.py
+++ b/tests/test_load_table.py
@@ -13,8 +13,8 @@
     BalancerDriver,
     of_type,
     send_and_answer,
-    serve_overloaded,
-    serve_reporting,
+    serve_with_load_reports,
+    serve_with_overload_reports,
 )
 
 
@@ -31,9 +31,9 @@
     # A overloaded endpoint answers nothing and so reports nothing: its last word, from before, made it look
     # light.
     driver = BalancerDriver(NON_IDEMPOTENT, endpoint_count=2, load_report_fields=INFLIGHT, instance_count=3)
-    serve_reporting(driver, 40)
+    serve_with_load_reports(driver, 40)
     lost = send_to(driver, "s0")
-    serve_reporting(driver, 20)
+    serve_with_load_reports(driver, 20)
     driver.advance(SECOND)
     driver.end_attempt(lost, Outcome.TIMEOUT, SECOND, attempt=0)
     assert send_and_answer(driver, 40) == ["s1"] * 40
@@ -41,16 +41,16 @@
 
 def test_an_attempt_long_in_flight_tells_it_before_its_timeout() -> None:
     driver = BalancerDriver(NON_IDEMPOTENT, endpoint_count=2, load_report_fields=INFLIGHT, instance_count=3)
-    serve_reporting(driver, 40)
+    serve_with_load_reports(driver, 40)
     send_to(driver, "s0")
-    serve_reporting(driver, 20)
+    serve_with_load_reports(driver, 20)
     driver.advance(800 * MS)
     assert send_and_answer(driver, 40) == ["s1"] * 40
 
 
 def test_a_load_guessed_from_a_late_answer_gives_way_to_the_next_report() -> None:
     driver = BalancerDriver(NON_IDEMPOTENT, endpoint_count=2, load_report_fields=INFLIGHT, instance_count=3)
-    serve_reporting(driver, 40)
+    serve_with_load_reports(driver, 40)
     late = send_to(driver, "s0")
     driver.advance(800 * MS)
     driver.end_attempt(late, Outcome.OK, 800 * MS, attempt=0, load_report=(1.0,))
@@ -60,8 +60,8 @@
 def test_old_reports_do_not_keep_the_mean_load_up() -> None:
     # Endpoints shunned for what they held are not heard of again; new ones enter at the mean of the others.
     driver = BalancerDriver(NON_IDEMPOTENT, endpoint_count=12, load_report_fields=INFLIGHT, instance_count=40)
-    serve_reporting(driver, 200, held=1.0)
-    serve_overloaded(driver, 60)
+    serve_with_load_reports(driver, 200, reported_load=1.0)
+    serve_with_overload_reports(driver, 60)
     table = driver.balancer.table
     driver.advance(20 * SECOND)
     for _ in range(400):  # one in thirteen of them has this balancer's part of the pass to idle endpoints
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -112,7 +112,7 @@
 
 def test_a_start_by_a_clock_ahead_where_servers_need_no_warming_up_is_no_fault() -> None:
     driver = BalancerDriver(IDEMPOTENT, endpoint_count=2, warm_up_start_capacity=0.5, warm_up_us=0)
-    driver.update_list(replace(driver.listed[0], started_at_us=driver.now + SECOND))
+    driver.update_list(replace(driver.initial_endpoints[0], started_at_us=driver.now + SECOND))
     assert driver.request()[1]
 
 
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -12,7 +12,7 @@
     # A tenth of all attempts was reset on one day, and each shut its endpoint out for half a second and more:
     # half of the endpoints were out at any time.
     driver = BalancerDriver(endpoint_count=4)
-    broken, answered = 0, dict.fromkeys((b.id for b in driver.listed), 0)
+    broken, answered = 0, dict.fromkeys((b.id for b in driver.initial_endpoints), 0)
     for _ in range(300):
         for s in of_type(driver.request()[1], SendAttempt):
             if answered[s.endpoint_id] < 6:
@@ -26,14 +26,14 @@
                 driver.end_attempt(again, Outcome.OK)
         driver.advance(20 * MS)
     assert broken > 30
-    assert not of_type(driver.log, RejectRequest)
-    assert not of_type(driver.log, LogMessage)
+    assert not of_type(driver.actions, RejectRequest)
+    assert not of_type(driver.actions, LogMessage)
     # A process that has died rejects the second connection too.
     for _ in range(40):
         for s in of_type(driver.request()[1], SendAttempt):
             driver.end_attempt(s, Outcome.CONNECT_FAILED if s.endpoint_id == "s0" else Outcome.OK)
         driver.advance(2 * MS)
-    assert [a.text for a in of_type(driver.log, LogMessage)] == ["endpoint s0 ejected: connect_failed"]
+    assert [a.text for a in of_type(driver.actions, LogMessage)] == ["endpoint s0 ejected: connect_failed"]
 
 
 def test_a_timeout_of_an_endpoint_that_still_answers_is_no_failure() -> None:
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -41,7 +41,7 @@
 def test_a_retry_with_key_stays_in_its_dedup_scope() -> None:
     for seed in range(20):
         driver = BalancerDriver(class_with_key(DedupScope.CELL), endpoint_count=12, seed=seed)
-        cells = {b.id: b.cell for b in driver.listed}
+        cells = {b.id: b.cell for b in driver.initial_endpoints}
         _, actions = driver.request()
         first = of_type(actions, SendAttempt)[0]
         again = of_type(driver.end_attempt(first, Outcome.ERROR), SendAttempt)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -33,8 +33,8 @@
     SECOND,
     BalancerDriver,
     of_type,
-    serve_overloaded,
-    serve_reporting,
+    serve_with_load_reports,
+    serve_with_overload_reports,
 )
 
 MACHINES, RESTARTED = 40, 6
@@ -267,8 +267,8 @@
         seed=seed,
         **settings,
     )
-    serve_reporting(driver, 200, held=0.0)
-    serve_overloaded(driver, 200)
+    serve_with_load_reports(driver, 200, reported_load=0.0)
+    serve_with_overload_reports(driver, 200)
     driver.update_list(Endpoint("new", started_at_us=driver.now))
     sent_at_us = []
     for _ in range(1000):
@@ -302,7 +302,7 @@
             warm_up_us=100 * SECOND,
             seed=seed,
         )
-        serve_overloaded(driver, 200)
+        serve_with_overload_reports(driver, 200)
         driver.advance(10 * SECOND)
         driver.update_list(*[Endpoint(f"s{i}", started_at_us=driver.now) for i in range(85)])
         for _ in range(300):
@@ -418,10 +418,10 @@
     for _ in range(100):
         driver.request()  # all that can be held is held
         driver.advance(MS)
-    for s in of_type(list(driver.log), SendAttempt):
+    for s in of_type(list(driver.actions), SendAttempt):
         driver.end_attempt(s, Outcome.OK)
-    driver.log.clear()
+    driver.actions.clear()
     for _ in range(400):
         for s in of_type(driver.request()[1] + driver.advance(20 * MS), SendAttempt):
             driver.end_attempt(s, Outcome.OK)
-    assert len(of_type(driver.log, SendAttempt)) > 340
+    assert len(of_type(driver.actions, SendAttempt)) > 340
