--- a/nickelmount/balancer/feedback.py
+++ b/nickelmount/balancer/feedback.py
@@ -36,8 +36,8 @@
         # late, or the connection broke and not the process.
         is_late = event.outcome in (Outcome.TIMEOUT, Outcome.RESET)
         if not is_late or endpoint.answered_at_us <= attempt.sent_at_us:
-            self._outliers.attempt_ended(endpoint, event.outcome, now_us)
-        self._quotas.learn_traffic_share(len(endpoint.in_flight) + 1, max(0.0, endpoint.other_in_flight))
+            self._outliers.record_attempt_end(endpoint, event.outcome, now_us)
+        self._quotas.update_traffic_share(len(endpoint.in_flight) + 1, max(0.0, endpoint.other_in_flight))
 
     def _pass_on(self, event: AttemptEnded, attempt: Attempt) -> None:
         """Tell other balancers the load that an answer reported."""
--- a/nickelmount/balancer/outlier_detection.py
+++ b/nickelmount/balancer/outlier_detection.py
@@ -59,7 +59,7 @@
         unresponsive_us = now_us - max(oldest_sent_at_us, endpoint.answered_at_us)
         return unresponsive_us > UNRESPONSIVE_LATENCIES * typical_latency_us
 
-    def attempt_ended(self, endpoint: TrackedEndpoint, outcome: Outcome, now_us: int) -> None:
+    def record_attempt_end(self, endpoint: TrackedEndpoint, outcome: Outcome, now_us: int) -> None:
         """Count a success or a failure; an attempt that was not sent, or cancelled, is neither."""
         if outcome is Outcome.OK:
             self._succeeded(endpoint, now_us)
--- a/nickelmount/balancer/quota.py
+++ b/nickelmount/balancer/quota.py
@@ -20,7 +20,7 @@
         self._traffic_share = 1.0 / settings.instance_count
         self._buckets = [(1.0, 0)] * len(self._quotas_per_us)  # tokens, and as of when
 
-    def learn_traffic_share(self, own_in_flight: int, other_in_flight: float) -> None:
+    def update_traffic_share(self, own_in_flight: int, other_in_flight: float) -> None:
         """Learn this balancer's part of the traffic from what is in flight at one endpoint."""
         if own_in_flight + other_in_flight > 0:
             share = own_in_flight / (own_in_flight + other_in_flight)
