--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -100,7 +100,7 @@
         self.slow_start = SlowStart(settings, ramp, rng)
         self.outliers = OutlierDetector(rng, self._log)
         hears_all = self.gossip.is_enabled or self.probing.is_enabled
-        self.endpoints = EndpointSet(ramp, rng, draws_order=not hears_all)
+        self.endpoints = EndpointSet(ramp, rng, is_shuffled=not hears_all)
         self.subset = Subset(settings, ramp, self.endpoints, uses_all=hears_all)
         self.admission = AdmissionControl(
             settings,
--- a/nickelmount/balancer/endpoint_set.py
+++ b/nickelmount/balancer/endpoint_set.py
@@ -18,12 +18,12 @@
 class EndpointSet:
     """All endpoints, and among them the ready, the warming and the removed ones.
 
-    `draws_order`: the ready ones stand in an order of this balancer's own, drawn at random; else in that of
+    `is_shuffled`: the ready ones stand in an order of this balancer's own, drawn at random; else in that of
     their first listing.
     """
 
-    def __init__(self, ramp: WarmUpRamp, rng: Random, draws_order: bool) -> None:
-        self._rng, self._draws_order = rng, draws_order
+    def __init__(self, ramp: WarmUpRamp, rng: Random, is_shuffled: bool) -> None:
+        self._rng, self._is_shuffled = rng, is_shuffled
         self.by_id: dict[EndpointId, TrackedEndpoint] = {}
         self.by_gossip_tag: dict[int, TrackedEndpoint] = {}
         self.ready: list[TrackedEndpoint] = []  # ordered
@@ -52,7 +52,7 @@
             return endpoint
         self._seen_count += 1
         drawn = self._rng.random()
-        order = drawn if self._draws_order else float(self._seen_count)
+        order = drawn if self._is_shuffled else float(self._seen_count)
         endpoint = TrackedEndpoint(entry, now_us, order)
         self.by_id[entry.id] = self.by_gossip_tag[gossip_tag(entry.id)] = endpoint
         return endpoint
