--- a/nickelmount/balancer/admission.py
+++ b/nickelmount/balancer/admission.py
@@ -141,7 +141,7 @@
 
     def predicted_time_limit_us(self, request: Request, now_us: int) -> float:
         """The longest predicted time to an answer with which an endpoint may still be sampled."""
-        if not self._table.time_per_load_us:
+        if not self._table.mean_service_time_us:
             return float("inf")
         share = LOW_PRIORITY_TIME_SHARE if request.is_low_priority else PREDICTED_TIME_SHARE
         bearable_us = self._bearable_latency_us[request.request_class.name]
@@ -155,23 +155,23 @@
         `limit_us` is predicted_time_limit_us, `left_us` the time to the objective.
         """
         table = self._table
-        cost, time_per_load_us = request.relative_cost, endpoint.time_per_load_us
+        cost, service_time_us = request.relative_cost, endpoint.service_time_us
         # A heavy request that not even an idle endpoint answers in time is not sent, or it takes capacity
         # from many. While most endpoints hold nothing it takes little, and hints are rough: then it may try.
-        is_feasible = cost <= 1.0 or cost * time_per_load_us * min(1.0, table.mean_load) <= left_us
+        is_feasible = cost <= 1.0 or cost * service_time_us * min(1.0, table.mean_load) <= left_us
         if now_us - endpoint.load_reported_at_us <= self._fresh_load_us:
             # Known, not guessed: no exploration here, but one that holds nothing may be sampled.
             load = endpoint.own_in_flight(now_us) + table.estimated_other_in_flight(endpoint, now_us)
             if load < 1.0:
                 return is_feasible
-            return (load + cost) * time_per_load_us <= limit_us + self._late_allowance_us(request)
+            return (load + cost) * service_time_us <= limit_us + self._late_allowance_us(request)
         own_in_flight = endpoint.own_in_flight(now_us)
         other_in_flight = table.estimated_other_in_flight(endpoint, now_us)
         if self._can_explore(request, endpoint, own_in_flight):
             return is_feasible
         if own_in_flight + other_in_flight >= MAX_IN_FLIGHT_PER_ENDPOINT:
             return False
-        predicted_us = (own_in_flight + other_in_flight + cost) * time_per_load_us
+        predicted_us = (own_in_flight + other_in_flight + cost) * service_time_us
         if predicted_us <= limit_us:
             return True
         # While own attempts are few, the whole time to the objective counts.
--- a/nickelmount/balancer/endpoint.py
+++ b/nickelmount/balancer/endpoint.py
@@ -52,11 +52,11 @@
         "penalty_fade_us",
         "probe_sent_at_us",
         "probe_waiters",
+        "reported_service_ms",
         "sample_count",
-        "service_ms",
+        "service_time_us",
         "started_at_us",
         "status",
-        "time_per_load_us",
         "trial_limit",
         "warm_share",
         "warming_since_us",
@@ -90,14 +90,14 @@
         """Forget what was learned of an earlier process under the same id."""
         # load_table.py
         self.heard_from_at_us = now_us  # when anything was last heard of it
-        self.time_per_load_us = 1.0  # as of the last refresh of the table
+        self.service_time_us = 1.0  # as of the last refresh of the table
         self.warm_share = 1.0  # share of its capacity that it has, as of the same time
         self.penalty = 0.0  # weight of attempts that ended badly, as of penalty_at_us
         self.penalty_at_us = 0
         self.penalty_fade_us = DEFAULT_PENALTY_FADE_US  # after this long half of it is left
         self.other_in_flight = 0.0  # of all other balancers, by the last load report
         self.load_reported_at_us = 0  # 0: never
-        self.service_ms = 0.0  # reported service time, smoothed; 0: none was reported
+        self.reported_service_ms = 0.0  # reported service time, smoothed; 0: none was reported
         self.latency_us = 0.0  # of its answers, smoothed
         self.load_at_send = 0.0  # what it held when these were sent, smoothed
         self.sample_count = 0  # answers in these two
--- a/nickelmount/balancer/gossip.py
+++ b/nickelmount/balancer/gossip.py
@@ -33,7 +33,7 @@
         self._instance_count = settings.instance_count
         self._instance_index = settings.instance_index
         self.fanout = 0  # balancers that are told of each report; 0: gossip is not allowed, or does not pay
-        if settings.can_gossip and table.reports_load:
+        if settings.can_gossip and table.has_load_reports:
             price = settings.prices.gossip
             affordable = int(MAX_SPENDING * PRICED_BYTES / (price * MESSAGE.size)) if price else MAX_FANOUT
             self.fanout = min(settings.instance_count - 1, MAX_FANOUT, affordable)
@@ -45,7 +45,7 @@
 
     def messages(self, endpoint: TrackedEndpoint, load: float) -> list[SendGossip]:
         """Tell some balancers, drawn each time, what an endpoint has reported; fewer while all are idle."""
-        fields = (max(0, min(MAX_UINT16, round(x))) for x in (load, endpoint.service_ms))
+        fields = (max(0, min(MAX_UINT16, round(x))) for x in (load, endpoint.reported_service_ms))
         payload = MESSAGE.pack(gossip_tag(endpoint.id), *fields)
         count = round(self.fanout * min(1.0, self._table.mean_load / 2))
         return [SendGossip(self._draw_receiver(), payload) for _ in range(count)]
--- a/nickelmount/balancer/load_table.py
+++ b/nickelmount/balancer/load_table.py
@@ -39,15 +39,15 @@
         self.cutoffs: list[float] = []
         self.mean_load = 0.0
         self.mean_capacity_hint = 1.0
-        self.median_service_ms = 0.0
+        self.median_reported_service_ms = 0.0
         self.median_heard_from_at_us = 0
         # Over all answers:
         self.mean_cost_us = 0.0  # of requests, by their hints
-        self.time_per_load_us = 0.0  # 0: nothing was answered yet
+        self.mean_service_time_us = 0.0  # 0: nothing was answered yet
         self.typical_latency_us = 0.0
 
     @property
-    def reports_load(self) -> bool:
+    def has_load_reports(self) -> bool:
         """Whether endpoints report what they hold."""
         return self.load_column >= 0
 
@@ -71,8 +71,8 @@
         self.median_heard_from_at_us = heard_from[len(heard_from) // 2] if heard_from else 0
         # The median: a few overloaded ones report a hundred times the rest and would make all others look
         # fast.
-        service = sorted(e.service_ms for e in endpoints if e.service_ms)
-        self.median_service_ms = service[len(service) // 2] if service else 0.0
+        service = sorted(e.reported_service_ms for e in endpoints if e.reported_service_ms)
+        self.median_reported_service_ms = service[len(service) // 2] if service else 0.0
         if self.has_capacity_hints and endpoints:
             self.mean_capacity_hint = sum(e.capacity_hint for e in endpoints) / len(endpoints)
 
@@ -86,11 +86,11 @@
         if endpoint.load_reported_at_us:
             age_us = max(FRESH_REPORT_US, now_us - endpoint.load_reported_at_us)
             load += (max(0.0, endpoint.other_in_flight) - load) * FRESH_REPORT_US / age_us
-        if not endpoint.in_flight or not self.time_per_load_us or self.load_column < 0:
+        if not endpoint.in_flight or not self.mean_service_time_us or self.load_column < 0:
             return load
         # An attempt that has been in flight for long waits behind as many, whatever was reported last.
         oldest_us = now_us - next(iter(endpoint.in_flight.values()))
-        return max(load, oldest_us / self.time_per_load_us - len(endpoint.in_flight))
+        return max(load, oldest_us / self.mean_service_time_us - len(endpoint.in_flight))
 
     def total_in_flight(self, endpoint: TrackedEndpoint, now_us: int) -> float:
         """What an endpoint holds in all."""
@@ -101,7 +101,7 @@
 
         A random fraction is added, or small counts tie: with half of the endpoints idle the median itself is.
         """
-        return (self.total_in_flight(endpoint, now_us) + rng.random()) * endpoint.time_per_load_us
+        return (self.total_in_flight(endpoint, now_us) + rng.random()) * endpoint.service_time_us
 
     def learn_cost(self, cost_us: int) -> float:
         """Take in a request's cost hint; return it as a multiple of the mean, 1 where there is no hint."""
@@ -115,13 +115,13 @@
         """An endpoint's capacity as a share of the mean, at most 1: hints are rough."""
         return min(1.0, endpoint.capacity_hint / self.mean_capacity_hint) if self.has_capacity_hints else 1.0
 
-    def time_per_load_of(self, endpoint: TrackedEndpoint, now_us: int, warm_share: float) -> float:
+    def estimate_service_time_us(self, endpoint: TrackedEndpoint, now_us: int, warm_share: float) -> float:
         """Service time of an endpoint per unit of load: the inverse of its relative capacity."""
-        time_us = (self.time_per_load_us or 1.0) / warm_share
+        time_us = (self.mean_service_time_us or 1.0) / warm_share
         if self.has_capacity_hints:
             time_us *= self.mean_capacity_hint / endpoint.capacity_hint
-        if endpoint.service_ms:
-            time_us *= endpoint.service_ms / self.median_service_ms
+        if endpoint.reported_service_ms:
+            time_us *= endpoint.reported_service_ms / self.median_reported_service_ms
         if endpoint.sample_count:
             weight = endpoint.sample_count / (endpoint.sample_count + HALF_WEIGHT_SAMPLES)
             age_us = now_us - endpoint.attempt_ended_at_us
@@ -139,8 +139,8 @@
     def learn_service_time(self, endpoint: TrackedEndpoint, service_ms: float) -> None:
         """Take in a reported service time, queueing left out."""
         if service_ms > 0:
-            weight = SERVICE_SMOOTHING if endpoint.service_ms else 1.0
-            endpoint.service_ms += weight * (service_ms - endpoint.service_ms)
+            weight = SERVICE_SMOOTHING if endpoint.reported_service_ms else 1.0
+            endpoint.reported_service_ms += weight * (service_ms - endpoint.reported_service_ms)
 
     def attempt_ended(
         self, endpoint: TrackedEndpoint, event: AttemptEnded, load_at_send: float, now_us: int
@@ -183,19 +183,19 @@
         endpoint.sample_count += 1
 
     def _learn_means(self, latency_us: int, load_at_send: float) -> None:
-        weight = MEAN_SMOOTHING if self.time_per_load_us else 1.0
+        weight = MEAN_SMOOTHING if self.mean_service_time_us else 1.0
         self.typical_latency_us += weight * (latency_us - self.typical_latency_us)
-        self.time_per_load_us += weight * (latency_us / load_at_send - self.time_per_load_us)
+        self.mean_service_time_us += weight * (latency_us / load_at_send - self.mean_service_time_us)
 
     def _learn_from_failure(self, endpoint: TrackedEndpoint, event: AttemptEnded, now_us: int) -> None:
         outcome = event.outcome
         if (
             outcome in (Outcome.TIMEOUT, Outcome.CANCELLED)
             and self.load_column >= 0
-            and self.time_per_load_us
+            and self.mean_service_time_us
         ):
             # It brings no report, but its own time tells as much: at least so many were before it.
-            load = event.latency_us / self.time_per_load_us
+            load = event.latency_us / self.mean_service_time_us
             if load > self.estimated_other_in_flight(endpoint, now_us):
                 endpoint.other_in_flight = load - len(endpoint.in_flight)
                 endpoint.load_reported_at_us = now_us
--- a/nickelmount/balancer/probing.py
+++ b/nickelmount/balancer/probing.py
@@ -25,7 +25,7 @@
 
     def __init__(self, settings: Settings, table: LoadTable) -> None:
         self.is_enabled = (
-            settings.can_probe and table.reports_load and 2 * settings.prices.probe <= MAX_SPENDING
+            settings.can_probe and table.has_load_reports and 2 * settings.prices.probe <= MAX_SPENDING
         )
         shortest_objective_us = min(c.latency_objective_us for c in settings.classes)
         self.max_age_us = int(MAX_AGE_OBJECTIVE_SHARE * shortest_objective_us)
--- a/nickelmount/balancer/sampling.py
+++ b/nickelmount/balancer/sampling.py
@@ -65,7 +65,7 @@
         rules.slow_start.refresh(endpoints, now_us)
         for endpoint in endpoints:
             endpoint.warm_share = rules.slow_start.ramp.warm_share(endpoint, now_us)
-            endpoint.time_per_load_us = table.time_per_load_of(endpoint, now_us, endpoint.warm_share)
+            endpoint.service_time_us = table.estimate_service_time_us(endpoint, now_us, endpoint.warm_share)
         ranks = [table.drain_time_us(endpoint, now_us, self._rng) for endpoint in endpoints]
         table.cutoffs = cutoffs(ranks) if ranks else []
 
--- a/nickelmount/balancer/slow_start.py
+++ b/nickelmount/balancer/slow_start.py
@@ -87,8 +87,8 @@
         capacity = table.relative_capacity(endpoint)
         share = capacity * self._request_share(is_probed)
         draw_rate = warm_share * self.instances_per_endpoint * self._draw_rate
-        if table.time_per_load_us and draw_rate:
-            service_rate = capacity * warm_share / table.time_per_load_us
+        if table.mean_service_time_us and draw_rate:
+            service_rate = capacity * warm_share / table.mean_service_time_us
             guaranteed = self._guaranteed_rate(service_rate) / draw_rate
             if guaranteed > share:
                 return self._rng.random() < warm_share * guaranteed
--- a/tests/test_load_table.py
+++ b/tests/test_load_table.py
@@ -80,9 +80,9 @@
             driver.end_attempt(s, Outcome.OK, 50 * MS, load_report=(1.0, 5000.0 if choked else 50.0))
         driver.advance(20 * MS)
     table, endpoints = driver.balancer.table, driver.balancer.endpoints.by_id
-    assert endpoints["s0"].service_ms > 1000
+    assert endpoints["s0"].reported_service_ms > 1000
     assert endpoints["s9"].sample_count
-    assert endpoints["s9"].time_per_load_us > table.time_per_load_us / 2
+    assert endpoints["s9"].service_time_us > table.mean_service_time_us / 2
 
 
 def test_the_penalty_of_a_failed_attempt_fades_by_itself() -> None:
@@ -125,7 +125,7 @@
         driver.balancer.endpoints.by_id[
             "s0"
         ].other_in_flight = 0.0  # what it is taken to hold at the next send
-    assert driver.balancer.table.time_per_load_us < 80 * MS
+    assert driver.balancer.table.mean_service_time_us < 80 * MS
 
 
 def test_a_reported_service_time_tells_slow_endpoints_apart() -> None:
@@ -137,10 +137,10 @@
         driver.end_attempt(send, Outcome.OK, 100 * MS, load_report=(200.0 if slow else 50.0, 1.0))
         driver.advance(100 * MS)
     driver.request()
-    assert driver.balancer.endpoints.by_id["s0"].service_ms == 200.0
+    assert driver.balancer.endpoints.by_id["s0"].reported_service_ms == 200.0
     assert (
-        driver.balancer.endpoints.by_id["s0"].time_per_load_us
-        > driver.balancer.endpoints.by_id["s1"].time_per_load_us
+        driver.balancer.endpoints.by_id["s0"].service_time_us
+        > driver.balancer.endpoints.by_id["s1"].service_time_us
     )
 
 
