--- a/nickelmount/agent/connection_pool.py
+++ b/nickelmount/agent/connection_pool.py
@@ -176,7 +176,7 @@
             connection = idle.pop()
             if connection.idle_since_us > settled_before_us:
                 unsettled.append(connection)
-            elif listed.same_process(connection.listed) and connection.is_quiet():
+            elif listed.is_same_process_as(connection.listed) and connection.is_quiet():
                 acquired = connection
                 if connection.idle_timer is not None:
                     connection.idle_timer.cancel()
@@ -200,7 +200,7 @@
             and connection.in_sync
             and not connection.closed
             and connection.all_written
-            and connection.listed.same_process(listed_now)
+            and connection.listed.is_same_process_as(listed_now)
         )
         if not is_reusable:
             return self.discard(connection)
--- a/nickelmount/agent/discovery_client.py
+++ b/nickelmount/agent/discovery_client.py
@@ -127,7 +127,7 @@
         endpoint_list = await self._parser.parse_body(body)
         self._poll_immediately = False
         self._apply_watched(endpoint_list)
-        if endpoint_list.entries or endpoint_list.complete:
+        if endpoint_list.entries or endpoint_list.is_complete:
             on_list(endpoint_list)
 
     async def _call(self, session: DiscoverySession) -> bytes | None:
--- a/nickelmount/agent/upstream.py
+++ b/nickelmount/agent/upstream.py
@@ -54,7 +54,7 @@
         for entry in endpoint_list.entries:
             if self._apply_entry(entry):
                 changed.append(entry.endpoint)
-        if endpoint_list.complete:
+        if endpoint_list.is_complete:
             changed += self._remove_unnamed(endpoint_list)
         return changed
 
@@ -68,7 +68,7 @@
             self._listed.pop(endpoint.id, None)
         else:
             self._listed[endpoint.id] = entry
-        is_same_ready = endpoint.status is EndpointStatus.READY and entry.same_process(previous)
+        is_same_ready = endpoint.status is EndpointStatus.READY and entry.is_same_process_as(previous)
         if previous is not None and not is_same_ready:
             self.pool.close_idle(endpoint.id)
         return True
--- a/nickelmount/agent/upstream_exchange.py
+++ b/nickelmount/agent/upstream_exchange.py
@@ -215,7 +215,7 @@
         listed_now = self._context.ready_endpoint(self._endpoint_id)
         if (
             self._has_ended
-            or not connection.listed.same_process(listed_now)
+            or not connection.listed.is_same_process_as(listed_now)
             or not _in_same_zone_and_cell(self._listed_at_start, listed_now)
         ):
             pool.discard(connection)
--- a/nickelmount/balancer/admission.py
+++ b/nickelmount/balancer/admission.py
@@ -109,7 +109,7 @@
             / TRAFFIC_WINDOW_US
             * PREDICTED_TIME_SHARE
             * self._shortest_objective_us
-            * subset.capacity_left
+            * subset.remaining_capacity_share
             * min(1.0, MAX_IN_FLIGHT_PER_ENDPOINT / (table.mean_load + 1.0))
         )
         limit = max(even_share, by_traffic)
@@ -159,7 +159,7 @@
         # A heavy request that not even an idle endpoint answers in time is not sent, or it takes capacity
         # from many. While most endpoints hold nothing it takes little, and hints are rough: then it may try.
         is_feasible = cost <= 1.0 or cost * service_time_us * min(1.0, table.mean_load) <= left_us
-        if now_us - endpoint.load_reported_at_us <= self._fresh_load_us:
+        if now_us - endpoint.load_updated_at_us <= self._fresh_load_us:
             # Known, not guessed: no exploration here, but one that holds nothing may be sampled.
             load = endpoint.own_in_flight(now_us) + table.estimated_other_in_flight(endpoint, now_us)
             if load < 1.0:
@@ -194,5 +194,5 @@
         """
         if own_in_flight >= min(1.0, self._exploration_limit):
             return False
-        has_pass = request.draws.exploration <= self._exploration_limit * self._subset.ready_per_sampled
+        has_pass = request.draws.exploration <= self._exploration_limit * self._subset.ready_to_subset_ratio
         return has_pass or endpoint.warm_share < 1.0
--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -156,7 +156,7 @@
     def _fresh_load_us(self) -> int:
         """How young a load must be to be known, not guessed; -1: none is."""
         if self.probing.is_enabled:
-            return self.probing.max_age_us
+            return self.probing.max_load_age_us
         return FRESH_GOSSIP_US if self.gossip.is_enabled else -1
 
     # The endpoint list
@@ -178,7 +178,9 @@
     def _choose_subset(self) -> None:
         if self.subset.choose(self.arrivals, self.now_us):
             self.sampler.invalidate()
-        self.slow_start.instances_per_endpoint = self.settings.instance_count / self.subset.ready_per_sampled
+        self.slow_start.instances_per_endpoint = (
+            self.settings.instance_count / self.subset.ready_to_subset_ratio
+        )
 
     def _refresh(self) -> None:
         """Bring subset and load table up to date before endpoints are chosen."""
@@ -191,14 +193,14 @@
     def _on_request_arrived(self, event: RequestArrived) -> None:
         now_us = self.now_us
         check_arrival(event, self.settings, self.requests)
-        relative_cost = self.table.learn_cost(event.cost_us)
+        relative_cost = self.table.record_cost(event.cost_us)
         draws = RandomDraws(slow_start=self._rng.random(), exploration=self._rng.random())
         request_class = self.settings.classes[event.request_class]
         request = Request(event, request_class, now_us, draws, relative_cost, MAX_PROBED_PAIRS)
         self.requests[event.request_id] = request
         self.retry_budget.request_arrived()
         if not event.is_retry:
-            self.arrivals.request_arrived(now_us)
+            self.arrivals.record_arrival(now_us)
         # A client's retry has used up part of its time: even served first it would probably be late.
         request.is_low_priority = self.quotas.is_exceeded(event.tenant, now_us) or event.is_retry
         self._advance(request)
@@ -241,7 +243,7 @@
         ready_count = len(self.endpoints.ready)
         if not self.admission.can_wait(request, len(self.waiting), ready_count, self.now_us):
             return self._finish(request)
-        self.probing.keep_waiting(request)
+        self.probing.allow_more_pairs(request)
         self.waiting.add(request.id)
         recheck_us = int(BUSY_RECHECK_LATENCIES * self.table.typical_latency_us)
         return self._schedule(self.now_us + recheck_us, self._recheck, request)
@@ -260,7 +262,7 @@
         if not request.unanswered_probes:
             return self._compare(request)
         time_left_us = self.admission.time_left_us(request, now_us)
-        until_us = now_us + min(self.probing.max_age_us, time_left_us)
+        until_us = now_us + min(self.probing.max_load_age_us, time_left_us)
         return self._schedule(until_us, self._on_probe_timeout, (request, request.probed_pairs))
 
     def _on_probe_timeout(self, argument: tuple[Request, int]) -> None:
@@ -278,7 +280,7 @@
         has_load = event.outcome is Outcome.OK and 0 <= load_column < len(event.load_report)
         if has_load:
             self.table.set_load(endpoint, event.load_report[load_column], self.now_us)
-        for request in self.probing.ended(endpoint, has_load):
+        for request in self.probing.end_probe(endpoint, has_load):
             self._compare(request)
 
     def _compare(self, request: Request) -> None:
--- a/nickelmount/balancer/endpoint.py
+++ b/nickelmount/balancer/endpoint.py
@@ -29,8 +29,6 @@
     """The state of one endpoint. Each group of fields belongs to the module named above it."""
 
     __slots__ = (
-        "answered_at_us",
-        "attempt_ended_at_us",
         "capacity_hint",
         "cell",
         "draw_offset",
@@ -38,13 +36,15 @@
         "ejection_us",
         "failure_rate",
         "failure_streak",
-        "heard_from_at_us",
         "id",
         "in_flight",
         "is_ready",
+        "last_attempt_ended_at_us",
+        "last_report_at_us",
+        "last_success_at_us",
         "latency_us",
         "load_at_send",
-        "load_reported_at_us",
+        "load_updated_at_us",
         "order",
         "other_in_flight",
         "penalty",
@@ -89,20 +89,20 @@
     def reset(self, now_us: int) -> None:
         """Forget what was learned of an earlier process under the same id."""
         # load_table.py
-        self.heard_from_at_us = now_us  # when anything was last heard of it
+        self.last_report_at_us = now_us  # when anything was last heard of it
         self.service_time_us = 1.0  # as of the last refresh of the table
         self.warm_share = 1.0  # share of its capacity that it has, as of the same time
         self.penalty = 0.0  # weight of attempts that ended badly, as of penalty_at_us
         self.penalty_at_us = 0
         self.penalty_fade_us = DEFAULT_PENALTY_FADE_US  # after this long half of it is left
         self.other_in_flight = 0.0  # of all other balancers, by the last load report
-        self.load_reported_at_us = 0  # 0: never
+        self.load_updated_at_us = 0  # 0: never
         self.reported_service_ms = 0.0  # reported service time, smoothed; 0: none was reported
         self.latency_us = 0.0  # of its answers, smoothed
         self.load_at_send = 0.0  # what it held when these were sent, smoothed
         self.sample_count = 0  # answers in these two
-        self.answered_at_us = 0
-        self.attempt_ended_at_us = 0
+        self.last_success_at_us = 0
+        self.last_attempt_ended_at_us = 0
         # outlier_detection.py
         self.failure_rate = 0.0  # of attempts, smoothed
         self.failure_streak = 0  # failures since the last success
--- a/nickelmount/balancer/feedback.py
+++ b/nickelmount/balancer/feedback.py
@@ -30,12 +30,12 @@
     def learn(self, event: AttemptEnded, attempt: Attempt, now_us: int) -> None:
         """Learn from an attempt that is no longer in flight: load and speed, failures, share of traffic."""
         endpoint, table = attempt.endpoint, self._table
-        table.attempt_ended(endpoint, event, attempt.load_at_send, now_us)
+        table.record_attempt_end(endpoint, event, attempt.load_at_send, now_us)
         self._pass_on(event, attempt)
         # A timeout or a reset counts against an endpoint only if it has answered nothing since: else it is
         # late, or the connection broke and not the process.
         is_late = event.outcome in (Outcome.TIMEOUT, Outcome.RESET)
-        if not is_late or endpoint.answered_at_us <= attempt.sent_at_us:
+        if not is_late or endpoint.last_success_at_us <= attempt.sent_at_us:
             self._outliers.attempt_ended(endpoint, event.outcome, now_us)
         self._quotas.learn_traffic_share(len(endpoint.in_flight) + 1, max(0.0, endpoint.other_in_flight))
 
--- a/nickelmount/balancer/gossip.py
+++ b/nickelmount/balancer/gossip.py
@@ -62,4 +62,4 @@
         endpoint = endpoints.by_gossip_tag.get(tag)
         if endpoint is not None:
             self._table.set_load(endpoint, load, now_us)
-            self._table.learn_service_time(endpoint, service_ms)
+            self._table.record_service_time(endpoint, service_ms)
--- a/nickelmount/balancer/load_table.py
+++ b/nickelmount/balancer/load_table.py
@@ -40,7 +40,7 @@
         self.mean_load = 0.0
         self.mean_capacity_hint = 1.0
         self.median_reported_service_ms = 0.0
-        self.median_heard_from_at_us = 0
+        self.median_last_report_at_us = 0
         # Over all answers:
         self.mean_cost_us = 0.0  # of requests, by their hints
         self.mean_service_time_us = 0.0  # 0: nothing was answered yet
@@ -56,8 +56,8 @@
         # Weighted by age: an endpoint that is avoided for its load is not heard of again, and its last report
         # would keep the mean up.
         weights = [
-            FRESH_REPORT_US / max(FRESH_REPORT_US, now_us - e.load_reported_at_us)
-            if e.load_reported_at_us
+            FRESH_REPORT_US / max(FRESH_REPORT_US, now_us - e.load_updated_at_us)
+            if e.load_updated_at_us
             else 0.0
             for e in endpoints
         ]
@@ -67,8 +67,8 @@
             if weight
         )
         self.mean_load = weighted_load / sum(weights) if weighted_load else 0.0
-        heard_from = sorted(e.heard_from_at_us for e in endpoints)
-        self.median_heard_from_at_us = heard_from[len(heard_from) // 2] if heard_from else 0
+        heard_from = sorted(e.last_report_at_us for e in endpoints)
+        self.median_last_report_at_us = heard_from[len(heard_from) // 2] if heard_from else 0
         # The median: a few overloaded ones report a hundred times the rest and would make all others look
         # fast.
         service = sorted(e.reported_service_ms for e in endpoints if e.reported_service_ms)
@@ -83,8 +83,8 @@
         since it started empty and has been sent no more since.
         """
         load = self.mean_load * endpoint.warm_share
-        if endpoint.load_reported_at_us:
-            age_us = max(FRESH_REPORT_US, now_us - endpoint.load_reported_at_us)
+        if endpoint.load_updated_at_us:
+            age_us = max(FRESH_REPORT_US, now_us - endpoint.load_updated_at_us)
             load += (max(0.0, endpoint.other_in_flight) - load) * FRESH_REPORT_US / age_us
         if not endpoint.in_flight or not self.mean_service_time_us or self.load_column < 0:
             return load
@@ -96,14 +96,14 @@
         """What an endpoint holds in all."""
         return endpoint.own_in_flight(now_us) + self.estimated_other_in_flight(endpoint, now_us)
 
-    def drain_time_us(self, endpoint: TrackedEndpoint, now_us: int, rng: Random) -> float:
+    def backlog_time_us(self, endpoint: TrackedEndpoint, now_us: int, rng: Random) -> float:
         """Time until an endpoint has worked off what it holds; the table is cut by this.
 
         A random fraction is added, or small counts tie: with half of the endpoints idle the median itself is.
         """
         return (self.total_in_flight(endpoint, now_us) + rng.random()) * endpoint.service_time_us
 
-    def learn_cost(self, cost_us: int) -> float:
+    def record_cost(self, cost_us: int) -> float:
         """Take in a request's cost hint; return it as a multiple of the mean, 1 where there is no hint."""
         if not cost_us:
             return 1.0
@@ -124,7 +124,7 @@
             time_us *= endpoint.reported_service_ms / self.median_reported_service_ms
         if endpoint.sample_count:
             weight = endpoint.sample_count / (endpoint.sample_count + HALF_WEIGHT_SAMPLES)
-            age_us = now_us - endpoint.attempt_ended_at_us
+            age_us = now_us - endpoint.last_attempt_ended_at_us
             weight = weight * HALF_WEIGHT_AGE_US / (HALF_WEIGHT_AGE_US + age_us)
             time_us += weight * (endpoint.latency_us / endpoint.load_at_send - time_us)
         return time_us
@@ -134,21 +134,21 @@
     def set_load(self, endpoint: TrackedEndpoint, load: float, now_us: int) -> None:
         """Take in what a probe or another balancer tells: it is a direct measurement and not smoothed."""
         endpoint.other_in_flight = load - len(endpoint.in_flight)
-        endpoint.load_reported_at_us = endpoint.heard_from_at_us = now_us
+        endpoint.load_updated_at_us = endpoint.last_report_at_us = now_us
 
-    def learn_service_time(self, endpoint: TrackedEndpoint, service_ms: float) -> None:
+    def record_service_time(self, endpoint: TrackedEndpoint, service_ms: float) -> None:
         """Take in a reported service time, queueing left out."""
         if service_ms > 0:
             weight = SERVICE_SMOOTHING if endpoint.reported_service_ms else 1.0
             endpoint.reported_service_ms += weight * (service_ms - endpoint.reported_service_ms)
 
-    def attempt_ended(
+    def record_attempt_end(
         self, endpoint: TrackedEndpoint, event: AttemptEnded, load_at_send: float, now_us: int
     ) -> None:
         """Learn from an attempt that has just been taken off endpoint.in_flight."""
         if event.outcome is Outcome.NOT_SENT:
             return  # nothing of it reached the endpoint
-        endpoint.attempt_ended_at_us = now_us
+        endpoint.last_attempt_ended_at_us = now_us
         report = event.load_report
         if self.load_column >= 0 and len(report) > self.load_column:
             self._learn_load(endpoint, report[self.load_column], now_us)
@@ -156,13 +156,13 @@
             # slow.
             load_at_send = max(load_at_send, report[self.load_column])
         if 0 <= self.service_column < len(report):
-            self.learn_service_time(endpoint, report[self.service_column])
+            self.record_service_time(endpoint, report[self.service_column])
         if event.outcome is Outcome.OK or (
             event.outcome is Outcome.TIMEOUT and event.latency_us > self.typical_latency_us
         ):
             self._learn_speed(endpoint, event.latency_us, load_at_send)
         if event.outcome is Outcome.OK:
-            endpoint.answered_at_us = now_us
+            endpoint.last_success_at_us = now_us
             self._learn_means(event.latency_us, load_at_send)
         else:
             self._learn_from_failure(endpoint, event, now_us)
@@ -171,10 +171,10 @@
         # The report counts our own attempts too, the one that ended included.
         other_in_flight = load - len(endpoint.in_flight) - 1
         weight = 1.0
-        if endpoint.load_reported_at_us:
-            weight = max(SMOOTHING, min(1.0, (now_us - endpoint.load_reported_at_us) / FRESH_REPORT_US))
+        if endpoint.load_updated_at_us:
+            weight = max(SMOOTHING, min(1.0, (now_us - endpoint.load_updated_at_us) / FRESH_REPORT_US))
         endpoint.other_in_flight += weight * (other_in_flight - endpoint.other_in_flight)
-        endpoint.load_reported_at_us = endpoint.heard_from_at_us = now_us
+        endpoint.load_updated_at_us = endpoint.last_report_at_us = now_us
 
     def _learn_speed(self, endpoint: TrackedEndpoint, latency_us: int, load_at_send: float) -> None:
         weight = max(SMOOTHING, 1 / (endpoint.sample_count + 1))
@@ -198,7 +198,7 @@
             load = event.latency_us / self.mean_service_time_us
             if load > self.estimated_other_in_flight(endpoint, now_us):
                 endpoint.other_in_flight = load - len(endpoint.in_flight)
-                endpoint.load_reported_at_us = now_us
+                endpoint.load_updated_at_us = now_us
         # The attempt goes on to count for a while: an endpoint that fails attempts at once must not look
         # idle.
         endpoint.penalty = endpoint.own_in_flight(now_us) - len(endpoint.in_flight) + 1.0
--- a/nickelmount/balancer/outlier_detection.py
+++ b/nickelmount/balancer/outlier_detection.py
@@ -56,7 +56,7 @@
         if len(endpoint.in_flight) < MIN_UNRESPONSIVE_ATTEMPTS or not typical_latency_us:
             return False
         oldest_sent_at_us = next(iter(endpoint.in_flight.values()))
-        unresponsive_us = now_us - max(oldest_sent_at_us, endpoint.answered_at_us)
+        unresponsive_us = now_us - max(oldest_sent_at_us, endpoint.last_success_at_us)
         return unresponsive_us > UNRESPONSIVE_LATENCIES * typical_latency_us
 
     def attempt_ended(self, endpoint: TrackedEndpoint, outcome: Outcome, now_us: int) -> None:
--- a/nickelmount/balancer/probing.py
+++ b/nickelmount/balancer/probing.py
@@ -28,7 +28,7 @@
             settings.can_probe and table.has_load_reports and 2 * settings.prices.probe <= MAX_SPENDING
         )
         shortest_objective_us = min(c.latency_objective_us for c in settings.classes)
-        self.max_age_us = int(MAX_AGE_OBJECTIVE_SHARE * shortest_objective_us)
+        self.max_load_age_us = int(MAX_AGE_OBJECTIVE_SHARE * shortest_objective_us)
 
     def begin(
         self, request: Request, pair: tuple[TrackedEndpoint, TrackedEndpoint], now_us: int
@@ -42,11 +42,11 @@
         request.unanswered_probes = []
         if self.is_enabled:
             request.unanswered_probes = [
-                e for e in dict.fromkeys(pair) if now_us - e.load_reported_at_us > self.max_age_us
+                e for e in dict.fromkeys(pair) if now_us - e.load_updated_at_us > self.max_load_age_us
             ]
         to_probe = []
         for endpoint in request.unanswered_probes:
-            if not endpoint.probe_sent_at_us or now_us - endpoint.probe_sent_at_us > self.max_age_us:
+            if not endpoint.probe_sent_at_us or now_us - endpoint.probe_sent_at_us > self.max_load_age_us:
                 endpoint.probe_sent_at_us = now_us
                 to_probe.append(endpoint)
             endpoint.probe_waiters.append(request)
@@ -54,7 +54,7 @@
             request.probed_pairs += 1
         return to_probe
 
-    def ended(self, endpoint: TrackedEndpoint, has_load: bool) -> Iterator[Request]:
+    def end_probe(self, endpoint: TrackedEndpoint, has_load: bool) -> Iterator[Request]:
         """End the probe of an endpoint; yield the requests whose samples can be compared now.
 
         A request is compared when both loads have come, or when one of the probes has failed. One that waits
@@ -73,6 +73,6 @@
             request.unanswered_probes.remove(endpoint)
         return not request.unanswered_probes or not has_load
 
-    def keep_waiting(self, request: Request) -> None:
+    def allow_more_pairs(self, request: Request) -> None:
         """Allow as many pairs again for a request that waits for a place."""
         request.max_probed_pairs = request.probed_pairs + MAX_PROBED_PAIRS
--- a/nickelmount/balancer/sampling.py
+++ b/nickelmount/balancer/sampling.py
@@ -66,7 +66,7 @@
         for endpoint in endpoints:
             endpoint.warm_share = rules.slow_start.ramp.warm_share(endpoint, now_us)
             endpoint.service_time_us = table.estimate_service_time_us(endpoint, now_us, endpoint.warm_share)
-        ranks = [table.drain_time_us(endpoint, now_us, self._rng) for endpoint in endpoints]
+        ranks = [table.backlog_time_us(endpoint, now_us, self._rng) for endpoint in endpoints]
         table.cutoffs = cutoffs(ranks) if ranks else []
 
     def endpoints_retry_allows(self, request: Request, now_us: int) -> list[TrackedEndpoint]:
@@ -89,11 +89,11 @@
 
         Some requests still try it, by their draw; of a warming one less is heard.
         """
-        quiet_us: float = now_us - endpoint.heard_from_at_us
+        quiet_us: float = now_us - endpoint.last_report_at_us
         quiet_us = (
             quiet_us * request.draws.slow_start * self._rules.slow_start.ramp.warm_share(endpoint, now_us)
         )
-        usual_us = max(FRESH_REPORT_US, now_us - self._table.median_heard_from_at_us)
+        usual_us = max(FRESH_REPORT_US, now_us - self._table.median_last_report_at_us)
         return quiet_us > MAX_QUIET_FACTOR * usual_us
 
     def draw_pair(self, request: Request, allowed: list[TrackedEndpoint], now_us: int) -> Pair | None:
@@ -135,5 +135,5 @@
         """The sample in the lower band."""
         one, other = pair
         table, rng = self._table, self._rng
-        load, other_load = table.drain_time_us(one, now_us, rng), table.drain_time_us(other, now_us, rng)
+        load, other_load = table.backlog_time_us(one, now_us, rng), table.backlog_time_us(other, now_us, rng)
         return one if takes_request(rng, table.cutoffs, load, other_load) else other
--- a/nickelmount/balancer/subset.py
+++ b/nickelmount/balancer/subset.py
@@ -37,10 +37,10 @@
         self._wanted_size = 0  # as of then
         # Ready endpoints for each endpoint of the subset: of all balancers, so many times fewer sample the
         # same one.
-        self.ready_per_sampled = 1.0
+        self.ready_to_subset_ratio = 1.0
 
     @property
-    def capacity_left(self) -> float:
+    def remaining_capacity_share(self) -> float:
         """The share that is left of the most capacity there was of late."""
         return self.capacity / max(1.0, self._peak_capacity)
 
@@ -56,7 +56,7 @@
         self._wanted_size = self._size_for(arrivals)
         self._measure_capacity(now_us)
         self.endpoints = self._all.ready.copy() if self._uses_all else self._first_in_order(now_us)
-        self.ready_per_sampled = max(1, len(self._all.ready)) / max(1, len(self.endpoints))
+        self.ready_to_subset_ratio = max(1, len(self._all.ready)) / max(1, len(self.endpoints))
         self._chosen_at_us = now_us
         return self.endpoints != before
 
--- a/nickelmount/balancer/traffic.py
+++ b/nickelmount/balancer/traffic.py
@@ -16,7 +16,7 @@
         self.count = 0.0
         self._updated_at_us = 0
 
-    def request_arrived(self, now_us: int) -> None:
+    def record_arrival(self, now_us: int) -> None:
         """Count one more."""
         self.count = self.count * exp((self._updated_at_us - now_us) / TRAFFIC_WINDOW_US) + 1.0
         self._updated_at_us = now_us
--- a/nickelmount/protocol/endpoint_list.py
+++ b/nickelmount/protocol/endpoint_list.py
@@ -55,7 +55,7 @@
     endpoint: Endpoint
     address: Address
 
-    def same_process(self, other: ListedEndpoint | None) -> bool:
+    def is_same_process_as(self, other: ListedEndpoint | None) -> bool:
         """Whether a connection to the one leads to the other."""
         return (
             other is not None
@@ -69,7 +69,7 @@
     """An answer of discovery: the complete list, or the entries that changed."""
 
     revision: int
-    complete: bool
+    is_complete: bool
     entries: tuple[ListedEndpoint, ...]
 
 
@@ -138,7 +138,7 @@
     def _build_list(self, document: Any, entries: list[ListedEndpoint | None]) -> EndpointList:
         readable = tuple(entry for entry in entries if entry is not None)
         endpoint_list = EndpointList(int(document["revision"]), bool(document["complete"]), readable)
-        if endpoint_list.complete:
+        if endpoint_list.is_complete:
             listed_ids = {entry.endpoint.id for entry in endpoint_list.entries}
             self._cache = {name: cached for name, cached in self._cache.items() if name in listed_ids}
         return endpoint_list
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -163,7 +163,7 @@
         call = await w.call()
         assert "index=41&" in call.first
         await call.answer(200, body(42, [GOOD_ENTRY], complete=True))
-        assert (await w.reported_list()).complete
+        assert (await w.reported_list()).is_complete
 
 
 @async_test()
--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -60,7 +60,7 @@
 
     def receive(self, listing: EndpointList | None) -> None:
         if listing is not None:
-            if listing.complete:
+            if listing.is_complete:
                 self.known.clear()
             self.known.update((m.endpoint.id, m) for m in listing.entries)
             self.known = {
@@ -82,7 +82,7 @@
     client = ListClient(port)
     client.discovery.fetch(client.receive)
     assert (listing := await client.updates.get()) is not None
-    assert listing.complete
+    assert listing.is_complete
     return client.known
 
 
@@ -102,7 +102,7 @@
         async with emulated_discovery() as (discovery, port):
             clients = [ListClient(port) for _ in range(20)]
             for client in clients:
-                assert (await client.knows(1)).complete
+                assert (await client.knows(1)).is_complete
             await until(discovery, waiting=20)
             changes = [
                 await discovery.change("DRAINING", share=0.25, seed=3),
@@ -112,7 +112,7 @@
             assert changes[0].changed_entries == 10
             assert changes[1].revision == 3
             for client in clients:
-                assert not (await client.knows(4)).complete
+                assert not (await client.knows(4)).is_complete
                 assert client.known == await listed(port)
             assert len(clients[0].known) == 40
             counts = keys(await discovery.status())
@@ -155,7 +155,7 @@
             if kind == "silent":
                 assert await client.updates.get() is None  # reset
             listing = await client.knows(ended.revision)
-            assert listing.complete == (history != "kept")
+            assert listing.is_complete == (history != "kept")
             assert client.known == await listed(port)
             assert (await discovery.status()).failed == 1
             await client.knows((await discovery.change("DRAINING", count=1)).revision)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -42,9 +42,9 @@
     )
     for junk in (b"", b"\xff" * len(told[0].payload), told[0].payload + b"\0"):
         other.event(GossipReceived(2, junk))
-    assert not any(s.load_reported_at_us for s in other.balancer.endpoints.by_id.values())
+    assert not any(s.load_updated_at_us for s in other.balancer.endpoints.by_id.values())
     other.event(GossipReceived(2, told[0].payload))
-    assert [s.other_in_flight for s in other.balancer.endpoints.by_id.values() if s.load_reported_at_us] == [
+    assert [s.other_in_flight for s in other.balancer.endpoints.by_id.values() if s.load_updated_at_us] == [
         8.0
     ]
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -66,7 +66,7 @@
     del doc["known"]
     config = load_config(tmp_path, doc, Clock())
     assert config.known_list.revision == 0
-    assert config.known_list.complete
+    assert config.known_list.is_complete
     assert not config.known_list.entries
 
 
