--- a/nickelmount/agent/assembly.py
+++ b/nickelmount/agent/assembly.py
@@ -84,7 +84,7 @@
     return make_client(
         config.discovery,
         config.list_parser,
-        config.known_list.revision,
+        config.cached_list.revision,
         config.connect_timeout_us / 1e6,
         LOCAL_LONG_POLL_MS if is_local else SHARED_LONG_POLL_MS,
         None if is_local else Random(config.seed),
--- a/nickelmount/agent/config.py
+++ b/nickelmount/agent/config.py
@@ -41,8 +41,8 @@
     discovery: Address
     seed: int  # of all random draws
     max_sockets: int  # file descriptors that this process may hold
-    known_list: EndpointList  # to begin with; perhaps stale
-    list_parser: EndpointListParser  # for the lists that follow; it has read known_list
+    cached_list: EndpointList  # to begin with; perhaps stale
+    list_parser: EndpointListParser  # for the lists that follow; it has read cached_list
     settings: Settings  # as they apply on sockets
     connect_timeout_us: int  # for a connection to an endpoint, or to discovery
     idle_timeout_us: int  # an endpoint closes a connection that has been idle for so long
@@ -98,7 +98,7 @@
         seed=int(document["seed"], 16),
         max_sockets=int((document.get("limits") or {}).get("sockets") or DEFAULT_MAX_SOCKETS),
         # Without a list the agent starts with no endpoints, and revision 0 asks for every change there was.
-        known_list=parser.parse(document.get("known") or NO_ENDPOINTS),
+        cached_list=parser.parse(document.get("known") or NO_ENDPOINTS),
         list_parser=parser,
         settings=settings,
         connect_timeout_us=int(allowed["connectTimeoutUs"]),
--- a/nickelmount/agent/lifecycle.py
+++ b/nickelmount/agent/lifecycle.py
@@ -60,7 +60,7 @@
         loop.add_signal_handler(number, stop.set)
     agent, listener = assemble(config, clock)
     loop.add_signal_handler(signal.SIGHUP, _reload, agent, clock)
-    agent.start(config.known_list)
+    agent.start(config.cached_list)
     try:
         port = await listener.listen(config.listen)
     except OSError as error:
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -111,7 +111,7 @@
         self.agent, self._discovery = _build_agent(
             self._config, self._clock, self.number, seed, self.received
         )
-        self.agent.start(self._config.known_list)
+        self.agent.start(self._config.cached_list)
 
     def end(self) -> None:
         """End it; its watch is cancelled."""
@@ -150,8 +150,8 @@
             base = replace(base, list_parser=SharingListParser(base.list_parser))
         for position, number in enumerate(numbers):
             # Unless they are shared, each agent has entries of its own for the list that it starts with.
-            known_list = base.known_list if shared else base.list_parser.parse(config["known"])
-            agent = HollowAgent(replace(base, known_list=known_list), clock, number)
+            known_list = base.cached_list if shared else base.list_parser.parse(config["known"])
+            agent = HollowAgent(replace(base, cached_list=known_list), clock, number)
             self._agents.append(agent)
             agent.start()
             if position % STARTS_PER_ITERATION == 0:
--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -89,7 +89,7 @@
             self._config, clock, max(1, servers), seed
         )
         self._now_us = 1_000_000  # of the balancer's clock
-        self._apply(self._config.known_list, ListUpdateKind.CACHED)
+        self._apply(self._config.cached_list, ListUpdateKind.CACHED)
 
     def figures(self) -> Figures:
         """Measure lists, then changes, then decisions."""
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -345,7 +345,7 @@
     if most is not None:
         config = replace(config, max_sockets=most)
     agent, server = assemble(config, clock, times, settle_time_us=0)
-    agent.start(config.known_list)
+    agent.start(config.cached_list)
     port = await server.listen(Address("127.0.0.1", 0))
     w = World(agent, server, port, discovery, peers, clock)
     try:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -290,7 +290,7 @@
         clock = Clock()
         config = load_config(folder, document, clock)
         agent, _ = assemble(config, clock)
-        agent.start(config.known_list)
+        agent.start(config.cached_list)
         first = (await discovery.requests.get()).first
         waits_ms.append(int(first.partition("&wait=")[2].split()[0]))
         await discovery.stop()
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -195,7 +195,7 @@
         clock = Clock()
         config = load_config(tmp_path, doc, clock)
         agent, _ = assemble(config, clock)
-        agent.start(config.known_list)
+        agent.start(config.cached_list)
         async with asyncio.timeout(3):
             first = (await peer.requests.get()).first
         # One that falls silent is to be found so and opened anew before 6 s are over.
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -65,9 +65,9 @@
     doc = config_doc(9, [])
     del doc["known"]
     config = load_config(tmp_path, doc, Clock())
-    assert config.known_list.revision == 0
-    assert config.known_list.complete
-    assert not config.known_list.entries
+    assert config.cached_list.revision == 0
+    assert config.cached_list.complete
+    assert not config.cached_list.entries
 
 
 @pytest.mark.parametrize(
