--- a/tests/agent_process.py
+++ b/tests/agent_process.py
@@ -35,7 +35,7 @@
         new.write_text(text)
         new.replace(self._path)
 
-    def change_discovery(self, document: dict[str, Any], discovery: Peer) -> None:
+    def write_config_with_discovery(self, document: dict[str, Any], discovery: Peer) -> None:
         """Write the same configuration with another discovery."""
         self.write_config(json.dumps(document | {"discovery": f"127.0.0.1:{discovery.port}"}))
 
@@ -47,9 +47,9 @@
         self._process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "nickelmount", env=env, stderr=asyncio.subprocess.PIPE
         )
-        self.port = int((await self.log_line("listens on")).rpartition(":")[2])
+        self.port = int((await self.wait_for_log_line("listens on")).rpartition(":")[2])
 
-    async def log_line(self, text: str) -> str:
+    async def wait_for_log_line(self, text: str) -> str:
         """The next line of its log that contains the text."""
         assert self.process.stderr is not None
         while text.encode() not in (line := await self.process.stderr.readline()):
@@ -93,6 +93,6 @@
             await peer.stop()
 
 
-def complete_list(revision: int, *members: dict[str, Any]) -> bytes:
+def complete_list_body(revision: int, *members: dict[str, Any]) -> bytes:
     """An answer of discovery."""
     return json.dumps({"revision": revision, "complete": True, "members": members}).encode()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.agent_process import AgentProcess, agent_process, complete_list, started_peers
+from tests.agent_process import AgentProcess, agent_process, complete_list_body, started_peers
 from tests.async_test import async_test
 from tests.loopback import Conversation, Peer, config_doc, member, post
 
@@ -69,12 +69,13 @@
             watch = await discovery.requests.get()
             discovery.server.close()
             watch.peer.reset()
-            await agent.log_line("call to discovery failed")
+            await agent.wait_for_log_line("call to discovery failed")
             clients = await connect_idle_clients(agent, MAX_DESCRIPTORS, send_request)
-            await agent.log_line("call to discovery failed")  # it goes on to be called while they stay
+            # The agent goes on calling discovery while all these connections are open.
+            await agent.wait_for_log_line("call to discovery failed")
             returned = await peer_at(discovery.port)
             call = await returned.requests.get()
-            await call.answer(200, complete_list(42, member("b", new.port)))
+            await call.answer(200, complete_list_body(42, member("b", new.port)))
             assert "index=42&" in (await returned.requests.get()).first
             # On a connection that stayed, and on a new one. A new one may be closed unread while all places
             # are in use; then the next is tried.
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.agent_process import agent_process, complete_list, started_peers
+from tests.agent_process import agent_process, complete_list_body, started_peers
 from tests.async_test import async_test
 from tests.loopback import Message, Peer, config_doc, member, post
 
@@ -31,7 +31,7 @@
                 call = await discovery.requests.get()
                 assert call.first.startswith("GET /catalog/members?index=41&wait=")
                 entries = member("a", first.port, "DRAINING"), member("b", second.port)
-                await call.answer(200, complete_list(42, *entries))
+                await call.answer(200, complete_list_body(42, *entries))
                 assert "index=42&" in (await discovery.requests.get()).first
                 client = await agent.client()
                 await client.write(post())
@@ -52,11 +52,11 @@
             client = await agent.client()
             await client.write(post())
             in_flight = await first.requests.get()
-            agent.change_discovery(document, new)
+            agent.write_config_with_discovery(document, new)
             agent.process.send_signal(signal.SIGHUP)
             call = await complete_list_call(new)
             await watch.peer.ended()
-            await call.answer(200, complete_list(7, member("b", second.port)))
+            await call.answer(200, complete_list_body(7, member("b", second.port)))
             assert "index=7&" in (await new.requests.get()).first
             await in_flight.answer()
             assert (await client.read()).status == 200
@@ -80,13 +80,13 @@
             for text in ("{", "", json.dumps(document | {"discovery": "nowhere"})):
                 agent.write_config(text)
                 agent.process.send_signal(signal.SIGHUP)
-                await agent.log_line("the old configuration stays")
+                await agent.wait_for_log_line("the old configuration stays")
             assert not watch.peer.told_of_close()
             for discovery in (between, last):
-                agent.change_discovery(document, discovery)
+                agent.write_config_with_discovery(document, discovery)
                 agent.process.send_signal(signal.SIGHUP)
                 call = await complete_list_call(discovery)
-            await call.answer(200, complete_list(3))
+            await call.answer(200, complete_list_body(3))
             assert "index=3&" in (await last.requests.get()).first
             agent.process.send_signal(signal.SIGHUP)
             await agent.stop()  # at once after the reload
@@ -98,9 +98,9 @@
         document = config_doc(old.port, [])
         async with agent_process(tmp_path, document) as agent:
             await old.requests.get()
-            agent.change_discovery(document, new)
+            agent.write_config_with_discovery(document, new)
             agent.process.send_signal(signal.SIGHUP)
             await (await complete_list_call(new)).answer(503, b"")
-            await (await complete_list_call(new)).answer(200, complete_list(9))
+            await (await complete_list_call(new)).answer(200, complete_list_body(9))
             assert "index=9&" in (await new.requests.get()).first
             await agent.stop()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,7 +15,7 @@
 from nickelmount.agent import listener as listener_module
 from nickelmount.agent.listener import ShutdownTimes
 from nickelmount.protocol.endpoint_list import EndpointList
-from tests.agent_process import agent_process, complete_list, started_peers
+from tests.agent_process import agent_process, complete_list_body, started_peers
 from tests.async_test import async_test
 from tests.event_order import BlockingClient, wait_for_accepted
 from tests.loopback import UNSAFE, Conversation, config_doc, member, post, world
@@ -198,12 +198,12 @@
             client = await agent.client()
             await client.write(post())
             in_flight = await endpoint.requests.get()
-            agent.change_discovery(document, new)
+            agent.write_config_with_discovery(document, new)
             second = signal.SIGTERM if first is signal.SIGHUP else signal.SIGHUP
             agent.process.send_signal(first)
             agent.process.send_signal(second)
             call = await new.requests.get()
-            await call.answer(200, complete_list(7, member("a", endpoint.port)))
+            await call.answer(200, complete_list_body(7, member("a", endpoint.port)))
             await in_flight.answer()
             assert (await client.read()).status == 200
             client.close()
