--- a/nickelmount/fleet/agent_config.py
+++ b/nickelmount/fleet/agent_config.py
@@ -10,7 +10,7 @@
 MAX_ENDPOINT_CONNECTIONS = 512  # of an agent that this tool builds from its parts; it opens none
 
 
-def config(
+def build_agent_config(
     experiment: Experiment, number: int, discovery_port: int, known_list: dict[str, Any]
 ) -> dict[str, Any]:
     """Return the configuration of the agent with this number, from 0.
--- a/nickelmount/fleet/fleet_processes.py
+++ b/nickelmount/fleet/fleet_processes.py
@@ -11,7 +11,7 @@
 import msgspec
 import psutil
 
-from .agent_config import METHOD, REQUEST_CLASS, config
+from .agent_config import METHOD, REQUEST_CLASS, build_agent_config
 from .agent_messages import (
     AgentsRestarted,
     AgentsStarted,
@@ -126,7 +126,7 @@
                 worker.process.call(
                     WorkerStarted,
                     "start",
-                    config=config(experiment, 0, discovery_port, known_list),
+                    config=build_agent_config(experiment, 0, discovery_port, known_list),
                     numbers=worker.agent_numbers,
                     shared=agents.share_lists,
                 )
@@ -148,7 +148,9 @@
         agents = await self._start_role("agent_processes")
         load_generator = await self._start_role("load_generator")
         self._real = RealAgents(agents, load_generator)
-        configs = [config(experiment, hollow + n, discovery_port, known_list) for n in range(real)]
+        configs = [
+            build_agent_config(experiment, hollow + n, discovery_port, known_list) for n in range(real)
+        ]
         started = await agents.call(AgentsStarted, "start", configs=configs)
         targets = [
             AgentTarget(agent_config["name"], port)
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -102,14 +102,14 @@
         self._config, self._clock, self.number = config, clock, number
         self._starts = 0
         self._discovery: RecordingDiscoveryClient | None = None
-        self.received: list[ReceivedList] = []  # over all its starts
+        self.received_lists: list[ReceivedList] = []  # over all its starts
 
     def start(self) -> None:
         """Start it, with a seed of its own for each start."""
         seed = self._config.seed + 7919 * self.number + self._starts
         self._starts += 1
         self.agent, self._discovery = _build_agent(
-            self._config, self._clock, self.number, seed, self.received
+            self._config, self._clock, self.number, seed, self.received_lists
         )
         self.agent.start(self._config.known_list)
 
@@ -131,7 +131,9 @@
 
     def received_at_ns(self, revision: int, since_ns: int) -> int:
         """Return when it had this revision or a later one, `since_ns` at the earliest; 0: not yet."""
-        return next((at_ns for held, at_ns in self.received if held >= revision and at_ns >= since_ns), 0)
+        return next(
+            (at_ns for held, at_ns in self.received_lists if held >= revision and at_ns >= since_ns), 0
+        )
 
 
 class HollowAgentWorker:
@@ -180,7 +182,7 @@
         used = usage()
         return WorkerStatus(
             agents=sum(agent.is_running for agent in self._agents),
-            lists=sum(len(agent.received) for agent in self._agents),
+            lists=sum(len(agent.received_lists) for agent in self._agents),
             failed_calls=sum(agent.failed_calls for agent in self._agents),
             cpu_s=used.cpu_s,
             rss_mb=used.rss_mb,
--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -33,7 +33,7 @@
 )
 from nickelmount.protocol.endpoint_list import EndpointList
 
-from .agent_config import MAX_ENDPOINT_CONNECTIONS, config
+from .agent_config import MAX_ENDPOINT_CONNECTIONS, build_agent_config
 from .experiment import Experiment
 from .figures import Figures, quantile
 from .role import run, serve, usage
@@ -84,7 +84,7 @@
         self._list = VersionedList(generate(layout), CHANGES)
         clock = Clock()
         empty_list = {"revision": 0, "complete": True, "members": []}
-        self._config = config_from(config(experiment, 0, 9, empty_list), {}, clock)
+        self._config = config_from(build_agent_config(experiment, 0, 9, empty_list), {}, clock)
         self._upstream, self._balancer = _build_upstream_and_balancer(
             self._config, clock, max(1, servers), seed
         )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -21,7 +21,7 @@
     RequestArrived,
 )
 from nickelmount.balancer.slow_start import WarmUpRamp
-from nickelmount.fleet.agent_config import config
+from nickelmount.fleet.agent_config import build_agent_config
 from nickelmount.fleet.discovery_messages import DiscoveryStart
 from nickelmount.fleet.emulated_discovery import EmulatedDiscovery
 from nickelmount.fleet.experiment import AgentSettings, Experiment
@@ -128,13 +128,13 @@
         e = Experiment(name="x", agents=AgentSettings(instance_count=1))
         try:
             begun = await discovery.start(DiscoveryStart(300, 7, 3, 4, 5, [9001], 10))
-            doc = config(e, 0, begun.port, {"revision": 0, "complete": True, "members": []})
+            doc = build_agent_config(e, 0, begun.port, {"revision": 0, "complete": True, "members": []})
             agents = [HollowAgent(config_from(doc, {}, CLOCK), CLOCK, i) for i in range(12)]
             for a in agents:
                 a.start()
             for _ in range(15):  # more than the history holds
                 await discovery.change("DRAINING", count=2, seed=1)
-            await turns(lambda: all(a.received for a in agents))
+            await turns(lambda: all(a.received_lists for a in agents))
             await discovery.begin_outage("refused")
             await discovery.change("DELETED", where="zone", seed=2)
             for a in agents[::2]:
