--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -380,7 +380,7 @@
     if max_sockets is not None:
         config = replace(config, max_sockets=max_sockets)
     agent, listener = assemble(config, clock, timeouts, settle_time_us=0)
-    agent.start(config.known_list)
+    agent.start(config.cached_list)
     port = await listener.listen(Address("127.0.0.1", 0))
     setup = LoopbackSetup(agent, listener, port, discovery, servers, clock)
     try:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -163,7 +163,7 @@
         call = await setup.next_call()
         assert "index=41&" in call.start_line
         await call.answer(200, list_body(42, [VALID_ENTRY], complete=True))
-        assert (await setup.next_list()).complete
+        assert (await setup.next_list()).is_complete
 
 
 @async_test()
@@ -294,7 +294,7 @@
         clock = Clock()
         config = load_config(folder, document, clock)
         agent, _ = assemble(config, clock)
-        agent.start(config.known_list)
+        agent.start(config.cached_list)
         start_line = (await discovery.requests.get()).start_line
         waits_ms.append(int(start_line.partition("&wait=")[2].split()[0]))
         await discovery.stop()
--- a/tests/test_load_table.py
+++ b/tests/test_load_table.py
@@ -13,8 +13,8 @@
     BalancerDriver,
     of_type,
     send_and_answer,
-    serve_overloaded,
-    serve_reporting,
+    serve_with_load_reports,
+    serve_with_overload_reports,
 )
 
 
@@ -31,9 +31,9 @@
     # A overloaded endpoint answers nothing and so reports nothing: its last word, from before, made it look
     # light.
     driver = BalancerDriver(NON_IDEMPOTENT, endpoint_count=2, load_report_fields=INFLIGHT, instance_count=3)
-    serve_reporting(driver, 40)
+    serve_with_load_reports(driver, 40)
     lost = send_to(driver, "s0")
-    serve_reporting(driver, 20)
+    serve_with_load_reports(driver, 20)
     driver.advance(SECOND)
     driver.end_attempt(lost, Outcome.TIMEOUT, SECOND, attempt=0)
     assert send_and_answer(driver, 40) == ["s1"] * 40
@@ -41,16 +41,16 @@
 
 def test_an_attempt_long_in_flight_tells_it_before_its_timeout() -> None:
     driver = BalancerDriver(NON_IDEMPOTENT, endpoint_count=2, load_report_fields=INFLIGHT, instance_count=3)
-    serve_reporting(driver, 40)
+    serve_with_load_reports(driver, 40)
     send_to(driver, "s0")
-    serve_reporting(driver, 20)
+    serve_with_load_reports(driver, 20)
     driver.advance(800 * MS)
     assert send_and_answer(driver, 40) == ["s1"] * 40
 
 
 def test_a_load_guessed_from_a_late_answer_gives_way_to_the_next_report() -> None:
     driver = BalancerDriver(NON_IDEMPOTENT, endpoint_count=2, load_report_fields=INFLIGHT, instance_count=3)
-    serve_reporting(driver, 40)
+    serve_with_load_reports(driver, 40)
     late = send_to(driver, "s0")
     driver.advance(800 * MS)
     driver.end_attempt(late, Outcome.OK, 800 * MS, attempt=0, load_report=(1.0,))
@@ -60,8 +60,8 @@
 def test_old_reports_do_not_keep_the_mean_load_up() -> None:
     # Endpoints shunned for what they held are not heard of again; new ones enter at the mean of the others.
     driver = BalancerDriver(NON_IDEMPOTENT, endpoint_count=12, load_report_fields=INFLIGHT, instance_count=40)
-    serve_reporting(driver, 200, held=1.0)
-    serve_overloaded(driver, 60)
+    serve_with_load_reports(driver, 200, reported_load=1.0)
+    serve_with_overload_reports(driver, 60)
     table = driver.balancer.table
     driver.advance(20 * SECOND)
     for _ in range(400):  # one in thirteen of them has this balancer's part of the pass to idle endpoints
@@ -80,9 +80,9 @@
             driver.end_attempt(s, Outcome.OK, 50 * MS, load_report=(1.0, 5000.0 if choked else 50.0))
         driver.advance(20 * MS)
     table, endpoints = driver.balancer.table, driver.balancer.endpoints.by_id
-    assert endpoints["s0"].service_ms > 1000
+    assert endpoints["s0"].reported_service_ms > 1000
     assert endpoints["s9"].sample_count
-    assert endpoints["s9"].time_per_load_us > table.time_per_load_us / 2
+    assert endpoints["s9"].service_time_us > table.mean_service_time_us / 2
 
 
 def test_the_penalty_of_a_failed_attempt_fades_by_itself() -> None:
@@ -125,7 +125,7 @@
         driver.balancer.endpoints.by_id[
             "s0"
         ].other_in_flight = 0.0  # what it is taken to hold at the next send
-    assert driver.balancer.table.time_per_load_us < 80 * MS
+    assert driver.balancer.table.mean_service_time_us < 80 * MS
 
 
 def test_a_reported_service_time_tells_slow_endpoints_apart() -> None:
@@ -137,10 +137,10 @@
         driver.end_attempt(send, Outcome.OK, 100 * MS, load_report=(200.0 if slow else 50.0, 1.0))
         driver.advance(100 * MS)
     driver.request()
-    assert driver.balancer.endpoints.by_id["s0"].service_ms == 200.0
+    assert driver.balancer.endpoints.by_id["s0"].reported_service_ms == 200.0
     assert (
-        driver.balancer.endpoints.by_id["s0"].time_per_load_us
-        > driver.balancer.endpoints.by_id["s1"].time_per_load_us
+        driver.balancer.endpoints.by_id["s0"].service_time_us
+        > driver.balancer.endpoints.by_id["s1"].service_time_us
     )
 
 
