--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,4 +1,4 @@
-"""Attempts and endpoint lists that cross, in an order that the test forces; each attempt ends once."""
+"""Tests of races between attempts, closes and endpoint lists, each in an order that the test forces."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 )
 
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-DEDUP_WINDOW_US = 15_000_000  # of the class KEYED
-LONG_US = 600_000_000  # no limit that a test reaches
+DEDUP_WINDOW_US = 15_000_000  # The dedup window of the class KEYED, as loopback.settings states it.
+LONG_US = 600_000_000  # A time limit that no test reaches.
 
 
-class ShiftedClock:
-    """Puts the agent's clock forward."""
+class ClockShift:
+    """A time by which the agent's clock is put forward."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.shift_us = 0
@@ -38,7 +38,7 @@
 
 
 def connection_in_flight(setup: LoopbackSetup) -> PooledConnection:
-    """The connection of the one attempt that is in flight."""
+    """Return the connection of the only attempt in flight."""
     (exchange,) = setup.agent.exchanges_in_flight
     assert exchange.connection is not None
     return exchange.connection
@@ -49,7 +49,7 @@
 
 
 async def serve_one(setup: LoopbackSetup) -> Message:
-    """One request that is served; its connection to the endpoint becomes idle."""
+    """Serve one request, and return it as the endpoint received it; its connection becomes idle."""
     client = await setup.send_request(post())
     message = await setup.next_request()
     await message.answer()
@@ -58,14 +58,14 @@
     return message
 
 
-# A response that crosses something else
+# A response at the same time as another event
 
 
 @async_test()
-async def test_a_response_in_the_kernel_precedes_a_timeout_that_is_due(tmp_path: Path) -> None:
+async def test_a_response_in_the_kernel_takes_precedence_over_a_due_timeout(tmp_path: Path) -> None:
     """The event loop is blocked while a response arrives and the request's timeout passes.
 
-    In its next cycle it finds both. The response has arrived, so the client gets it.
+    Its next iteration finds both. The client must get the response, because it arrived in time.
     """
     async with loopback_setup(tmp_path) as setup:
         client = await setup.send_request(post(NOT_IDEMPOTENT, timeout_ms="400"))
@@ -80,19 +80,20 @@
 
 @pytest.mark.parametrize("change", ["drains", "is removed", "is not listed", "moves"])
 @async_test()
-async def test_a_response_that_crosses_the_drain_of_its_endpoint_is_served(
+async def test_a_response_that_arrives_while_its_endpoint_drains_or_is_removed_is_served(
     tmp_path: Path, change: str
 ) -> None:
-    """An endpoint drains, is removed or moves while its response is in the kernel, not read yet.
+    """An endpoint drains, is removed or moves while its response is in the kernel but has not been read.
 
-    The response is still served, but its connection is closed at once, and nothing new goes to that endpoint.
+    The response must still be served, its connection must be closed immediately, and the endpoint must get no
+    new requests.
     """
     async with loopback_setup(tmp_path, endpoints=2, connIdleUs=LONG_US) as setup:
         client = await setup.send_request(post(NOT_IDEMPOTENT))
         message = await setup.next_request()
         connection = connection_in_flight(setup)
         port = connection.listed.address.port
-        index = next(i for i, peer in enumerate(setup.endpoints) if peer.port == port)
+        index = next(i for i, endpoint in enumerate(setup.endpoints) if endpoint.port == port)
         name, other = f"s{index}", setup.endpoints[1 - index]
         message.connection.writer.write(RESPONSE)
         wait_until_readable(connection)
@@ -116,12 +117,13 @@
 @pytest.mark.parametrize("received", [b"H", b"HTTP/1.1 200 OK\r\nContent-", RESPONSE[:-1]])
 @pytest.mark.parametrize("end", ["reset", "close"])
 @async_test()
-async def test_a_connection_lost_within_a_response_fails_what_must_not_run_twice(
+async def test_a_request_that_is_not_idempotent_fails_if_its_response_is_cut_off(
     tmp_path: Path, received: bytes, end: str
 ) -> None:
-    """The connection is lost after the first byte of a response or later, so the request has run.
+    """The connection is lost after part of a response has arrived, so the request has run.
 
-    Its class must not run twice: it is not retried, and the client must not be told that it was rejected.
+    Because the request is not idempotent, it must not be retried, and the client must not be told that it was
+    rejected.
     """
     async with loopback_setup(tmp_path, endpoints=2) as setup:
         client = await setup.send_request(post(NOT_IDEMPOTENT))
@@ -140,9 +142,10 @@
 @pytest.mark.parametrize("late_bytes", [RESPONSE, b"HTTP/1.1 200 OK\r\n", b"\r\n", LOAD_REPORT])
 @async_test()
 async def test_late_bytes_on_an_idle_connection_reach_no_request(tmp_path: Path, late_bytes: bytes) -> None:
-    """Bytes that nobody asked for arrive on an idle connection just when the next request would use it.
+    """Bytes that belong to no request arrive on an idle connection just before the next request.
 
-    They are in the kernel, not read yet. Sent on this connection, the request would be answered with them.
+    They are in the kernel but have not been read. If the request was sent on this connection, it would be
+    answered with them.
     """
     async with loopback_setup(tmp_path) as setup:
         first = await serve_one(setup)
@@ -157,12 +160,15 @@
         assert (await client.read()).body == b"mine"
 
 
-# The next attempt of a request
+# Retries and hedged requests
 
 
 @async_test()
 async def test_a_request_has_no_more_attempts_than_the_settings_allow(tmp_path: Path) -> None:
-    """Every endpoint rejects. After the last attempt the request surely never ran, so it is rejected."""
+    """Every endpoint rejects the request.
+
+    The request has not run after the last attempt, so the client must be told that it was rejected.
+    """
     for max_attempts in (1, 2, 3):
         async with loopback_setup(tmp_path, endpoints=6, maxAttempts=max_attempts) as setup:
             client, attempts = await setup.send_request(post(NOT_IDEMPOTENT)), 0
@@ -180,10 +186,11 @@
 
 
 @async_test()
-async def test_an_attempt_is_closed_before_the_next_one_where_hedging_is_not_allowed(tmp_path: Path) -> None:
-    """A response cannot be used, and its connection is still open when the request is retried.
+async def test_an_attempt_is_closed_before_the_next_one_if_hedging_is_not_allowed(tmp_path: Path) -> None:
+    """An attempt gets an unusable response while its connection is open, and the request is retried.
 
-    Were it closed only after that, two endpoints would hold the request at once.
+    If the connection was closed only after the retry was sent, two endpoints would hold the request at the
+    same time.
     """
     async with loopback_setup(tmp_path, endpoints=2) as setup:
         client = await setup.send_request(post())
@@ -201,12 +208,12 @@
 async def test_a_retry_whose_connection_is_established_after_the_dedup_window_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The first attempt may have run. The connection for the retry takes longer than the dedup window.
+    """The first attempt may have run, and the connect for the retry takes longer than the dedup window.
 
-    The endpoint would no longer know the key, and the request could run twice. The client is answered at
-    once, although half of its timeout remains.
+    The endpoint would no longer know the idempotency key, so that the request could run twice. The client
+    must be answered immediately, although half of its timeout remains.
     """
-    clock = ShiftedClock(monkeypatch)
+    clock = ClockShift(monkeypatch)
     async with loopback_setup(tmp_path, endpoints=2) as setup:
         connect = DelayedConnect(setup, monkeypatch, nth=2)
         client = await setup.send_request(post())
@@ -221,17 +228,17 @@
 
 
 @async_test()
-async def test_a_first_attempt_whose_connection_is_established_after_the_window_of_its_hedge_is_not_sent(
+async def test_a_first_attempt_is_not_sent_after_the_dedup_window_of_its_hedged_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The connection of the first attempt takes so long that a hedged request is sent, and runs.
+    """The connect of the first attempt takes so long that a hedged request is sent, and runs.
 
-    When it is established, the dedup window of the hedged request is over: now the first attempt would be the
-    repeat that no endpoint drops.
+    When the connection is established, the dedup window of the hedged request is over. If the first attempt
+    was sent now, the endpoint would not recognize it as a repeat.
     """
-    clock = ShiftedClock(monkeypatch)
+    clock = ClockShift(monkeypatch)
     async with loopback_setup(tmp_path, endpoints=2, secondCopies=True) as setup:
-        for _ in range(3):  # now the balancer knows a typical latency, without which it does not hedge
+        for _ in range(3):  # The balancer hedges only after it has learned a typical latency.
             await serve_one(setup)
         for name in ("s0", "s1"):
             setup.pool.close_idle(name)
@@ -249,14 +256,14 @@
         assert setup.balancer_in_flight_count == 0
 
 
-# An endpoint list that crosses a connect
+# A change of the endpoint list during a connect
 
 
 @async_test()
 async def test_an_endpoint_that_moves_during_a_connect_gets_nothing_at_its_old_address(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An endpoint gets a new address while a connection to the old one is being established."""
+    """An endpoint gets a new address while a connection to its old address is being established."""
     async with loopback_setup(tmp_path) as setup, running_server() as new:
         old = setup.endpoints[0]
         connect = DelayedConnect(setup, monkeypatch)
@@ -277,8 +284,8 @@
 ) -> None:
     """An endpoint moves to another zone or cell while a connection to it is being established.
 
-    It was chosen as one that would drop a repeat of the request; there it may not know the key. The choice is
-    made again.
+    It was chosen because it would drop a repeat of the request. In another dedup scope it may not know the
+    idempotency key, so an endpoint must be chosen again.
     """
     async with loopback_setup(tmp_path) as setup:
         connect = DelayedConnect(setup, monkeypatch)
