--- a/nickelmount/agent/connection.py
+++ b/nickelmount/agent/connection.py
@@ -35,7 +35,7 @@
         """Handle bytes from the peer."""
 
     def on_handler_error(self) -> None:
-        """Clean up after on_data has raised."""
+        """Clean up after on_data has raised an exception."""
 
     def on_peer_closed(self) -> None:
         """Handle a close, a half-close or a reset by the peer. May be called twice."""
--- a/nickelmount/agent/discovery_client.py
+++ b/nickelmount/agent/discovery_client.py
@@ -29,9 +29,9 @@
 # The longest wait of a long poll at a discovery that all agents share. The wait is long so that each agent
 # calls rarely, because every call uses capacity that the agents share.
 SHARED_LONG_POLL_MS = 20_000
-# The wait of a long poll at a discovery that serves only this agent. A connection that no longer delivers
-# responses is detected only at the end of a long poll. That has to happen before a change that the watch has
-# missed counts as notified.
+# The wait of a long poll at a discovery that serves only this agent. It is short, because a connection that
+# no longer delivers responses is detected only at the end of a long poll, and this has to happen before a
+# change that the watch has missed counts as notified.
 LOCAL_LONG_POLL_MS = 2_000
 # The timeout of a call that discovery answers immediately, including the time to connect.
 CALL_TIMEOUT_S = 2.0
@@ -39,7 +39,7 @@
 # would wait forever if the machine of discovery was cut off from the network and so closed no connection.
 LONG_POLL_GRACE_S = 0.5
 # The wait of a call that asks for changes and is to be answered immediately. The protocol has no wait of 0.
-IMMEDIATE_POLL_MS = 1
+IMMEDIATE_POLL_WAIT_MS = 1
 
 ListCallback = Callable[[EndpointList | None], None]
 
@@ -70,7 +70,7 @@
         self._revision = revision  # If it is None, the next call asks for the complete list.
         # Whether the next call asks for an immediate response. Missed changes then arrive immediately, and a
         # connection that delivers nothing is detected within CALL_TIMEOUT_S.
-        self._poll_immediately = False
+        self._next_poll_is_immediate = False
         self._watch_task: asyncio.Task[None] | None = None
         self._fetch_tasks: set[asyncio.Task[None]] = set()
 
@@ -117,9 +117,9 @@
                 # During an outage of a shared discovery, the next connection may deliver nothing either. With
                 # a long poll, that would be detected only after its wait, when the changes missed by then
                 # have long counted as notified. The long polls at a local discovery are too short for that.
-                self._poll_immediately = self._jitter_random is not None
-        # This is reset before the failure is reported, because the balancer may start the next watch in
-        # response.
+                self._next_poll_is_immediate = self._jitter_random is not None
+        # The task is cleared before the report, because the balancer may start the next watch in response to
+        # it.
         self._watch_task = None
         on_list(None)
 
@@ -131,8 +131,8 @@
         # The timeout of the call does not include parsing, because the time that this agent takes to parse a
         # response says nothing about discovery.
         endpoint_list = await self._parser.parse_body(body)
-        self._poll_immediately = False
-        self._hold_watched_revision(endpoint_list)
+        self._next_poll_is_immediate = False
+        self._store_watched_revision(endpoint_list)
         if endpoint_list.entries or endpoint_list.is_complete:
             on_list(endpoint_list)
 
@@ -142,33 +142,32 @@
         Changes are requested with an immediate response or with a long poll. Returns None if a long poll got
         no response; the next call then asks for an immediate response.
         """
-        if self._revision is None or self._poll_immediately:
-            return await self._call_immediately(session)
+        if self._revision is None or self._next_poll_is_immediate:
+            return await self._immediate_call(session)
         return await self._long_poll(session)
 
-    async def _call_immediately(self, session: DiscoverySession) -> bytes:
+    async def _immediate_call(self, session: DiscoverySession) -> bytes:
         async with _call_timeout():
             await session.connect()
             if self._revision is None:
                 return await session.get(complete_list_target())
-            return await session.get(changes_target(self._revision, IMMEDIATE_POLL_MS))
+            return await session.get(changes_target(self._revision, IMMEDIATE_POLL_WAIT_MS))
 
     async def _long_poll(self, session: DiscoverySession) -> bytes | None:
         await session.connect()
-        wait_ms = self._draw_wait_ms()
+        wait_ms = self._next_wait_ms()
         try:
             async with asyncio.timeout(wait_ms / 1000 + LONG_POLL_GRACE_S):
                 return await session.get(changes_target(self._revision, wait_ms))
         except TimeoutError:
             # The connection has stopped delivering data without being closed. This is not a sign that
-            # discovery is overloaded, so the watch continues immediately on a new connection, without a
-            # backoff.
+            # discovery is overloaded, so the watch continues on a new connection without a backoff.
             log.warning("no response to a long poll of discovery; opening a new connection")
             session.disconnect()
-            self._poll_immediately = True
+            self._next_poll_is_immediate = True
             return None
 
-    def _draw_wait_ms(self) -> int:
+    def _next_wait_ms(self) -> int:
         """Return the wait of the next long poll.
 
         At a shared discovery it is random, between half of the longest wait and all of it.
@@ -177,9 +176,10 @@
             return self._long_poll_ms
         return int(self._long_poll_ms * (0.5 + 0.5 * self._jitter_random.random()))
 
-    def _hold_watched_revision(self, endpoint_list: EndpointList) -> None:
+    def _store_watched_revision(self, endpoint_list: EndpointList) -> None:
+        """Store the revision of a list that the watch received; raises StaleRevisionError."""
         try:
-            self._hold_revision(endpoint_list)
+            self._store_revision(endpoint_list)
         except StaleRevisionError:
             # Either a fetch has returned a newer list since this call began, or discovery has restarted its
             # count of revisions. In both cases the complete list has to be requested next.
@@ -204,7 +204,7 @@
             await session.connect()
             body = await session.get(complete_list_target())
         endpoint_list = await self._parser.parse_body(body)
-        self._hold_revision(endpoint_list)
+        self._store_revision(endpoint_list)
         return endpoint_list
 
     # Used by both the watch and the fetch
@@ -212,7 +212,7 @@
     def _new_session(self) -> DiscoverySession:
         return DiscoverySession(self._address, min(self._connect_timeout_s, CALL_TIMEOUT_S))
 
-    def _hold_revision(self, endpoint_list: EndpointList) -> None:
+    def _store_revision(self, endpoint_list: EndpointList) -> None:
         """Store the revision of a list; raises StaleRevisionError if it is older than the stored one."""
         if self._revision is not None and endpoint_list.revision < self._revision:
             raise StaleRevisionError(endpoint_list.revision, self._revision)
@@ -221,12 +221,12 @@
 
 @asynccontextmanager
 async def _call_timeout() -> AsyncIterator[None]:
-    """Limit the time of a call that discovery answers immediately; raises DiscoveryError at the limit."""
+    """Raise DiscoveryError if a call that discovery answers immediately takes longer than CALL_TIMEOUT_S."""
     try:
         async with asyncio.timeout(CALL_TIMEOUT_S):
             yield
     except TimeoutError:
-        raise DiscoveryError(f"no answer within {CALL_TIMEOUT_S} s") from None
+        raise DiscoveryError(f"no response within {CALL_TIMEOUT_S} s") from None
 
 
 def _log_failure(error: Exception) -> None:
--- a/nickelmount/agent/upstream.py
+++ b/nickelmount/agent/upstream.py
@@ -102,12 +102,12 @@
             exchange.start()
         except Exception:
             # Every exception is caught, because a request would get no answer if its exchange never ended.
-            log.exception("failed to start an attempt at endpoint %s", endpoint_id)
+            log.exception("failed to start an exchange with endpoint %s", endpoint_id)
             exchange.end_unsent()
         return exchange
 
     def start_probe(self, endpoint_id: EndpointId, on_end: Callable[[ExchangeResult], None]) -> None:
-        """Start a probe, which asks an endpoint for its load report, or only for a response if it sends none.
+        """Request an endpoint's load report, or ping the endpoint if the settings name no load report fields.
 
         `on_end` is called exactly once, possibly before this method returns.
         """
--- a/tests/event_order.py
+++ b/tests/event_order.py
@@ -39,7 +39,7 @@
 
 
 class DelayedConnect:
-    """A delay of the nth connection to an endpoint that is opened from now on.
+    """A patch of the connection pool that delays the nth connection opened from now on.
 
     The connection is established, but its exchange gets it only after `hand_over` is called.
     """
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -30,13 +30,14 @@
 # request must not run twice.
 KEYED, NOT_IDEMPOTENT = "registro-servicio", "vale-almacen"
 LOAD_REPORT = b"inflight=0,queue=0,util=0.1"
-TEST_TIMEOUT_S = 60  # A test that hangs for longer fails. No test measures this time.
+TEST_TIMEOUT_S = 60  # A test that hangs fails after this time. No other result depends on it.
 
 
 def settings(**allowed: Any) -> dict[str, Any]:
     """Return the settings section of a configuration file.
 
-    Keyword arguments replace or add keys of its section `allowed`. By default, the agent may not probe.
+    Keyword arguments replace or add keys of its section `allowed`. By default, the agent may neither probe
+    nor hedge nor gossip.
     """
     return {
         "allowed": {
@@ -109,7 +110,7 @@
 
 
 def complete_list(*servers: ScriptedServer) -> EndpointList:
-    """Return a complete endpoint list that names the servers s0, s1 and so on."""
+    """Return a complete endpoint list that names the servers s0, s1 and so on; it may be empty."""
     return endpoint_list(*(member(f"s{i}", server.port) for i, server in enumerate(servers)), complete=True)
 
 
@@ -332,7 +333,10 @@
         return len(self._balancer.waiting)
 
     def balancer_load_by_endpoint(self) -> list[float]:
-        """Return the load that the balancer counts for each endpoint: attempts in flight and penalties."""
+        """Return the load that the balancer counts for each endpoint.
+
+        It consists of the attempts in flight and of penalties for attempts that ended badly.
+        """
         balancer = self._balancer
         return [endpoint.own_in_flight(balancer.now_us) for endpoint in balancer.endpoints.by_id.values()]
 
@@ -346,8 +350,8 @@
         The clock is put forward to the time of the timer.
         """
         balancer, now = self._balancer, self.clock.now
-        early_us = max(0, balancer.timers.next_at_us - now())
-        self.clock.now = lambda: now() + early_us  # type: ignore[method-assign]
+        remaining_us = max(0, balancer.timers.next_at_us - now())
+        self.clock.now = lambda: now() + remaining_us  # type: ignore[method-assign]
         self.agent._dispatch(TimerFired(balancer.timers.armed_at_us))
 
 
@@ -366,7 +370,7 @@
     timeouts: ClientTimeouts | None = None,
     **allowed: Any,
 ) -> AsyncIterator[LoopbackSetup]:
-    """Yield an agent that listens, with its endpoints s0, s1 and so on; all of it ends with the block.
+    """Yield an agent that listens, with its endpoints s0, s1 and so on, and stop all of them after the block.
 
     `max_sockets` and `timeouts` replace the defaults if they are given; see `settings` for `allowed`.
     """
