--- a/nickelmount/fleet/agent_messages.py
+++ b/nickelmount/fleet/agent_messages.py
@@ -1,4 +1,7 @@
-"""What the processes of agents answer the runner. The keys are those on the wire."""
+"""The messages that the processes of agents send to the runner.
+
+Field names are keys on the wire; a field with another name gives its key as `name`.
+"""
 
 from __future__ import annotations
 
@@ -8,57 +11,60 @@
 
 
 class WorkerStarted(msgspec.Struct, frozen=True):
-    """The answer of a process of hollow agents to the command `start`."""
+    """Answer of a process of hollow agents to the command `start`."""
 
-    before: Usage  # the usage of the process before the agents were started
-    cpu_s: float  # and after
-    rss_mb: float
+    before: Usage  # Usage of the process before the agents were started.
+    cpu_s: float  # Processor time of the process after the agents were started.
+    rss_mb: float  # Resident memory of the process after the agents were started.
 
 
 class ListTimes(msgspec.Struct, frozen=True):
-    """The answer of a process of hollow agents to the command `had`."""
+    """Answer of a process of hollow agents to the command `had`."""
 
-    at_ns: list[int]  # of the monotonic clock, in the order of the agents' numbers; 0: not yet
+    # Monotonic time in ns at which each agent had the revision, in the order of the agents' numbers; 0 if it
+    # does not have it yet.
+    at_ns: list[int]
 
 
 class WorkerRestarted(msgspec.Struct, frozen=True):
-    """The answer of a process of hollow agents to the command `restart`."""
+    """Answer of a process of hollow agents to the command `restart`."""
 
-    at_ns: int  # of the monotonic clock, when its agents were ended
+    at_ns: int  # Monotonic time in ns at which the agents were ended.
 
 
 class WorkerStatus(msgspec.Struct, frozen=True):
-    """The answer of a process of hollow agents to the command `counts`."""
+    """Answer of a process of hollow agents to the command `counts`."""
 
-    agents: int  # that run
-    lists: int  # received since the start, over all agents
-    failed_calls: int = msgspec.field(name="broken")  # to discovery, of the agents that run
+    agents: int  # Number of agents that are running.
+    lists: int  # Number of lists that all agents together have received since the start.
+    # Number of failed calls to discovery of the agents that are running.
+    failed_calls: int = msgspec.field(name="broken")
     cpu_s: float
     rss_mb: float
 
 
 class AgentsStarted(msgspec.Struct, frozen=True):
-    """The answer of the process that keeps the real agents to the command `start`."""
+    """Answer of the process that runs the real agents to the command `start`."""
 
-    ports: list[int]
-    ready_s: list[float]  # how long each took until it was ready
+    ports: list[int]  # Listening ports on 127.0.0.1, in the order of the configurations.
+    ready_s: list[float]  # Seconds from the start of each agent until it was ready.
 
 
 class AgentsRestarted(msgspec.Struct, frozen=True):
-    """The answer of the process that keeps the real agents to the command `restart`."""
+    """Answer of the process that runs the real agents to the command `restart`."""
 
-    ready_s: list[float]
+    ready_s: list[float]  # Seconds from the new start of each agent until it was ready.
 
 
 class AgentUsage(msgspec.Struct, frozen=True):
-    """What the process of one real agent uses."""
+    """Resource usage of one real agent."""
 
-    cpu_s: float  # over all its restarts
+    cpu_s: float  # Processor time of all processes that the agent has had since its first start.
     rss_mb: float
-    alive: float  # 1.0, or 0.0 where it has ended
+    alive: float  # 1.0 if the process is running; 0.0 if it has ended.
 
 
 class AgentUsages(msgspec.Struct, frozen=True):
-    """The answer of the process that keeps the real agents to the command `counts`."""
+    """Answer of the process that runs the real agents to the command `counts`."""
 
     agents: list[AgentUsage]
--- a/nickelmount/fleet/agent_processes.py
+++ b/nickelmount/fleet/agent_processes.py
@@ -165,7 +165,7 @@
 
 
 async def main() -> None:
-    """Run the role until its input ends."""
+    """Run the role until its standard input ends."""
     with tempfile.TemporaryDirectory(prefix="nickelmount-fleet-") as folder:
         agents = AgentProcesses(Path(folder))
         try:
--- a/nickelmount/fleet/discovery_messages.py
+++ b/nickelmount/fleet/discovery_messages.py
@@ -1,4 +1,7 @@
-"""What the runner and the process of emulated discovery tell each other. The keys are those on the wire."""
+"""The messages between the runner and the process of emulated discovery.
+
+Field names are keys on the wire; a field with another name gives its key as `name`.
+"""
 
 from __future__ import annotations
 
@@ -8,83 +11,88 @@
 
 from .versioned_list import ServerLayout
 
-# How an outage looks to clients: connections are refused and reset, or accepted and never answered.
+# In a "refused" outage, connections are refused and reset. In a "silent" one, they are accepted, and no call
+# is answered.
 OutageKind = Literal["refused", "silent"]
-# What discovery has after an outage: its history of changes, none, or none and revisions from 1 again.
+# After an outage the history of changes is still there ("kept"), or lost ("gone"), or lost with the revisions
+# starting from 1 again ("renumbered").
 HistoryAfterOutage = Literal["kept", "gone", "renumbered"]
 
 
 class PublishedChange(NamedTuple):
-    """One revision of the list, in the answer to `made`."""
+    """One revision of the list in the answer to the command `made`."""
 
     revision: int
-    at_ns: int  # of the monotonic clock
-    entries: int  # how many entries it changed
+    at_ns: int  # Monotonic time in ns at which the revision was published.
+    entries: int  # Number of entries that changed in this revision.
 
 
 class DiscoveryStart(ServerLayout, frozen=True):
-    """The arguments of the command `start`: a list is generated and served."""
+    """Arguments of the command `start`, which generates a list and serves it."""
 
-    history: int  # how many changes are remembered
-    revision: int = 1  # the first
+    history: int  # Number of changes that discovery remembers.
+    revision: int = 1  # Revision of the generated list.
 
 
 class DiscoveryStarted(msgspec.Struct, frozen=True):
-    """The answer to `start`."""
+    """Answer to the command `start`."""
 
     port: int
     revision: int
-    list_bytes: int  # the size of the complete list
-    at_ns: int  # of the monotonic clock
+    list_bytes: int  # Size of the encoded complete list.
+    at_ns: int  # Monotonic time in ns at which the list was first served.
 
 
 class ListPublished(msgspec.Struct, frozen=True):
-    """The answer to `change`: the list as it is now."""
+    """Answer to the command `change`."""
 
-    revision: int
-    at_ns: int  # of the monotonic clock
-    changed_entries: int = msgspec.field(name="changed")  # 0: none, and the revision is the one before
+    revision: int  # Revision of the list after the command.
+    at_ns: int  # Monotonic time in ns at which the revision was published.
+    # Number of entries that changed; if it is 0, the revision is the same as before the command.
+    changed_entries: int = msgspec.field(name="changed")
 
 
 class OutageBegun(msgspec.Struct, frozen=True):
-    """The answer to `begin_outage`."""
+    """Answer to the command `begin_outage`."""
 
-    at_ns: int  # of the monotonic clock
+    at_ns: int  # Monotonic time in ns at which the outage began.
 
 
 class OutageEnded(msgspec.Struct, frozen=True):
-    """The answer to `end_outage`."""
+    """Answer to the command `end_outage`."""
 
-    at_ns: int  # of the monotonic clock
+    at_ns: int  # Monotonic time in ns at which discovery served again.
     revision: int
 
 
 class DiscoveryCounts(msgspec.Struct):
-    """What happened since the start.
+    """Counts since the start of discovery.
 
-    Each call ends as a full list, a delta, empty, failed or abandoned, or is still open.
+    Each call is counted once as a complete list, a delta, empty, failed or abandoned when it ends.
     """
 
     calls: int = 0
     complete_lists: int = msgspec.field(name="whole", default=0)
     deltas: int = 0
-    empty: int = 0
-    failed: int = 0  # answered with 4xx, or cut off by an outage
-    abandoned: int = msgspec.field(name="left", default=0)  # the client closed its connection first
-    bytes_sent: int = msgspec.field(name="bytes_out", default=0)  # handed to the transport
+    empty: int = 0  # Calls answered with a delta without entries.
+    failed: int = 0  # Calls answered with a status of 4xx or cut off by an outage.
+    # Calls whose client closed its connection before the answer.
+    abandoned: int = msgspec.field(name="left", default=0)
+    bytes_sent: int = msgspec.field(name="bytes_out", default=0)  # Bytes passed to the transport.
     bytes_received: int = msgspec.field(name="bytes_in", default=0)
-    connections: int = 0  # accepted, open or not
+    connections: int = 0  # Accepted connections, including those that have closed since.
     peak_waiting: int = msgspec.field(name="waiting_most", default=0)
-    peak_queued: int = msgspec.field(name="queue_most", default=0)  # large responses not begun yet
+    # Peak number of large responses that had not been begun.
+    peak_queued: int = msgspec.field(name="queue_most", default=0)
     peak_calls_in_100_ms: int = msgspec.field(name="most_calls_in_100ms", default=0)
 
 
 class DiscoveryStatus(DiscoveryCounts, kw_only=True):
-    """The answer to the command `counts`: the counts, and what is the case now."""
+    """Answer to the command `counts`: the counts, the current state and the resource usage."""
 
     open_connections: int = msgspec.field(name="open")
-    waiting: int  # watches
-    queued: int  # large responses
+    waiting: int  # Number of watches that wait for a change.
+    queued: int  # Number of large responses that have not been begun.
     revision: int
     cpu_s: float
     rss_mb: float
--- a/nickelmount/fleet/emulated_discovery.py
+++ b/nickelmount/fleet/emulated_discovery.py
@@ -1,6 +1,7 @@
 """Emulated discovery: ``python -m nickelmount.fleet.emulated_discovery``.
 
-It serves an endpoint list on loopback by the protocol's page, changes it and fails on command.
+It serves an endpoint list on loopback as the protocol's documentation describes. On command it changes the
+list and simulates outages.
 """
 
 from __future__ import annotations
@@ -31,40 +32,42 @@
 from .large_responses import LARGE_RESPONSE_BYTES, LargeResponseQueue
 from .list_calls import parse_list_call
 from .listening_port import ListeningPort
-from .role import Command, Nothing, run, serve, typed_command, usage
+from .role import Command, EmptyAnswer, run, serve, typed_command, usage
 from .steady_changes import SteadyChanges, unix_time_ms
-from .versioned_list import Phase, VersionedList, Where, generate, pick
+from .versioned_list import ChangeScope, Phase, VersionedList, generate_entries, pick_server_ids
 from .waiting_watches import SLOT_S, WaitingWatches
 from .watch_connection import WatchConnection
 
-BURST_WINDOW_NS = 100_000_000  # in which calls are counted for their peak
-MAX_PUBLISHED_CHANGES = 100_000  # whose times are kept
+BURST_WINDOW_NS = 100_000_000  # Time window over which the peak number of calls is counted.
+MAX_PUBLISHED_CHANGES = 100_000  # Number of changes whose times are kept.
 
 
 class EmulatedDiscovery:
-    """Discovery of one run. `commands` are those of its process."""
+    """Emulated discovery for one run. `commands` returns the commands of its process."""
 
     def __init__(self) -> None:
         self.counts = DiscoveryCounts()
         self._loop = asyncio.get_running_loop()
         self._list = VersionedList([], 0)
-        self._responses: dict[int | None, bytes] = {}  # head and body, by base revision, until a change
+        # Encoded responses, with head and body, by their base revision. A change clears them.
+        self._responses: dict[int | None, bytes] = {}
         self._outage: OutageKind | None = None
         self._port = ListeningPort(lambda: WatchConnection(self))
         self._connections: set[WatchConnection] = set()
         self._all_disconnected = asyncio.Event()
-        # Only watches at the present revision wait; any other is answered at once.
+        # Only watches of the current revision wait; any other watch is answered at once.
         self._waiting = WaitingWatches(self._loop.time())
         self._expiry_timer: asyncio.TimerHandle | None = None
         self._large_responses = LargeResponseQueue(self._loop, self._respond)
-        self._recent_calls_ns: deque[int] = deque()  # within BURST_WINDOW_NS
+        # Monotonic times in ns of the calls within the latest BURST_WINDOW_NS.
+        self._recent_calls_ns: deque[int] = deque()
         self._published: deque[PublishedChange] = deque(maxlen=MAX_PUBLISHED_CHANGES)
         self._steady_changes = SteadyChanges(lambda: self._list, lambda: self._publish(1))
 
     # Commands
 
     def commands(self) -> Mapping[str, Command]:
-        """Return the commands of the process, by their names on the wire."""
+        """Return the commands of the process by their names on the wire."""
         return {
             "start": typed_command(DiscoveryStart, self.start),
             "change": self.change,
@@ -76,10 +79,10 @@
         }
 
     async def start(self, settings: DiscoveryStart) -> DiscoveryStarted:
-        """Generate a list and serve it; raises ValueError where it has started before."""
+        """Generate a list and serve it; raises ValueError if discovery has already been started."""
         if self._port.is_reserved:
-            raise ValueError("started already")
-        self._list = VersionedList(generate(settings), settings.history, settings.revision)
+            raise ValueError("discovery has already been started")
+        self._list = VersionedList(generate_entries(settings), settings.history, settings.revision)
         self._port.reserve()
         await self._port.open()
         self._answer_expired()
@@ -95,32 +98,34 @@
         phase: Phase,
         share: float | None = None,
         count: int | None = None,
-        where: Where = "any",
+        where: ChangeScope = "any",
         seed: int = 0,
         replaced: bool = False,
     ) -> ListPublished:
-        """Publish one revision, in which servers change to `phase`.
+        """Publish one revision in which servers change to `phase`.
 
-        SERVING: all that do not serve are ready again, those deleted under new ids where `replaced`. Any
-        other phase: a share or a count of those that serve, or all of them in one place, drawn with `seed`.
+        With SERVING, all servers that are draining or deleted return; deleted ones get new ids if `replaced`.
+        With any other phase, the servers are chosen at random with `seed` among those that serve: a share or
+        a count of them, or all servers in one rack, zone or region.
         """
         msgspec.convert(phase, Phase)
         random = Random(seed)
         if phase == "SERVING":
             restored = self._list.restore(unix_time_ms(), random if replaced else None)
             return self._publish(len(restored))
-        ids = pick(self._list.entries("SERVING"), where, random, share=share, count=count)
+        ids = pick_server_ids(self._list.entries("SERVING"), where, random, share=share, count=count)
         self._list.change(ids, phase)
         return self._publish(len(ids))
 
     async def begin_outage(self, kind: OutageKind) -> OutageBegun:
-        """Fail from now on; raises ValueError where it has not started or is down.
+        """Begin an outage; raises ValueError if discovery has not been started or is already down.
 
-        "refused": the port is closed, and all connections are reset. "silent": connections stay, the kernel
-        alone accepts new ones, and no call is answered; only a response that has begun is written on.
+        With the kind "refused", the port is closed and all connections are reset. With the kind "silent",
+        connections stay open, new ones are accepted by the kernel alone, and no call is answered; a response
+        that has been begun is still written to its end.
         """
         if self._outage is not None or not self._port.is_accepting:
-            raise ValueError("no discovery to fail")
+            raise ValueError("discovery has not been started or is already down")
         self._outage = msgspec.convert(kind, OutageKind)
         at_ns = time.monotonic_ns()
         self._port.stop_accepting()
@@ -130,12 +135,12 @@
         return OutageBegun(at_ns)
 
     async def end_outage(self, history: HistoryAfterOutage = "kept") -> OutageEnded:
-        """Serve again; raises ValueError where there is no outage.
+        """End the outage and serve again; raises ValueError if there is no outage.
 
-        Connections that remain are reset, those included that only the kernel has accepted.
+        The remaining connections are reset, including those that only the kernel has accepted.
         """
         if self._outage is None:
-            raise ValueError("no outage")
+            raise ValueError("discovery is not down")
         msgspec.convert(history, HistoryAfterOutage)
         await self._disconnect_all()
         if history != "kept":
@@ -145,15 +150,15 @@
         await self._port.open()
         return OutageEnded(time.monotonic_ns(), self._list.revision)
 
-    async def set_steady_changes(self, per_s: float, seed: int = 0) -> Nothing:
-        """Publish so many single changes a second from now on; 0: none any more."""
+    async def set_steady_changes(self, per_s: float, seed: int = 0) -> EmptyAnswer:
+        """Publish `per_s` changes of one server each per second from now on; 0 stops them."""
         self._steady_changes.stop()
         if per_s > 0:
             self._steady_changes.start(per_s, seed)
-        return Nothing()
+        return EmptyAnswer()
 
     async def status(self) -> DiscoveryStatus:
-        """Return the counts since the start, the state and the usage."""
+        """Return the counts since the start, the current state and the resource usage."""
         used = usage()
         return DiscoveryStatus(
             **msgspec.structs.asdict(self.counts),
@@ -166,7 +171,7 @@
         )
 
     async def published_changes(self) -> dict[str, list[PublishedChange]]:
-        """Return the latest changes, the oldest first."""
+        """Return the latest changes in order of time."""
         return {"changes": list(self._published)}
 
     def serving_ids(self) -> set[str]:
@@ -174,7 +179,7 @@
         return {entry.id for entry in self._list.entries("SERVING")}
 
     async def close(self) -> None:
-        """Stop serving, and give the port back."""
+        """Stop serving, and release the port."""
         self._steady_changes.stop()
         if self._expiry_timer is not None:
             self._expiry_timer.cancel()
@@ -184,21 +189,21 @@
 
     # Changes
 
-    def _publish(self, changed: int) -> ListPublished:
-        """Answer all watches that wait for the change just made to `changed` entries."""
+    def _publish(self, changed_entries: int) -> ListPublished:
+        """Answer all waiting watches after a change of `changed_entries` entries of the list."""
         at_ns = time.monotonic_ns()
         revision = self._list.revision
-        if changed:
-            self._published.append(PublishedChange(revision, at_ns, changed))
+        if changed_entries:
+            self._published.append(PublishedChange(revision, at_ns, changed_entries))
             self._responses.clear()
             for connection in self._waiting.remove_all():
                 self._answer(connection)
-        return ListPublished(revision, at_ns, changed)
+        return ListPublished(revision, at_ns, changed_entries)
 
     # Connections
 
     async def _disconnect_all(self) -> None:
-        """Refuse new connections and reset the present ones."""
+        """Refuse new connections, reset the existing ones, and wait until they have closed."""
         self._port.refuse()
         for connection in self._connections:
             connection.reset()
@@ -207,27 +212,27 @@
             await self._all_disconnected.wait()
 
     def on_connected(self, connection: WatchConnection) -> None:
-        """Count a connection; one that came up while the port was closed is reset."""
+        """Count a new connection, or also reset it if the port has been closed meanwhile."""
         self.counts.connections += 1
         self._connections.add(connection)
         if not self._port.is_open:
             connection.reset()
 
     def on_bytes_received(self, number: int) -> None:
-        """Count bytes."""
+        """Count received bytes."""
         self.counts.bytes_received += number
 
     def on_abandoned(self, connection: WatchConnection) -> None:
-        """Forget the call of a connection, where it waits or its response is queued."""
+        """Drop the call of a connection if it is waiting or its response is queued."""
         if self._waiting.remove(connection) or self._large_responses.remove(connection):
             self.counts.abandoned += 1
 
     def on_all_written(self, connection: WatchConnection) -> None:
-        """Make room for the next large response."""
+        """Free the place of a large response that has been written, so that the next one can begin."""
         self._large_responses.mark_written(connection)
 
     def on_disconnected(self, connection: WatchConnection) -> None:
-        """Forget a connection that has closed."""
+        """Remove a connection that has closed."""
         self._connections.discard(connection)
         self._large_responses.mark_written(connection)
         if not self._connections:
@@ -236,7 +241,7 @@
     # Calls
 
     def on_request(self, connection: WatchConnection, request: HttpMessage | HttpError) -> None:
-        """Answer a call, let it wait for a change, or refuse what is none."""
+        """Answer a call, let it wait for a change, or reject a request that is not a call."""
         self._count_call()
         if self._outage is not None:
             self.counts.failed += 1
@@ -246,7 +251,7 @@
                 raise request
             call = parse_list_call(request)
         except HttpError as error:
-            return self._refuse(connection, error.status)
+            return self._reject(connection, error.status)
         connection.call = call
         if call.wait_ms and call.index == self._list.revision:
             self._waiting.add(connection, self._loop.time(), call.wait_ms)
@@ -262,7 +267,7 @@
             self._recent_calls_ns.popleft()
         self.counts.peak_calls_in_100_ms = max(self.counts.peak_calls_in_100_ms, len(self._recent_calls_ns))
 
-    def _refuse(self, connection: WatchConnection, status: int) -> None:
+    def _reject(self, connection: WatchConnection, status: int) -> None:
         self.counts.failed += 1
         response = encode_response(status, [("Connection", "close")], b"")
         self.counts.bytes_sent += len(response)
@@ -271,13 +276,13 @@
         connection.close()
 
     def _answer_expired(self) -> None:
-        """Answer the watches whose wait has ended, now and then once a slot."""
+        """Answer the watches whose wait has ended, and schedule the next call after SLOT_S."""
         self._expiry_timer = self._loop.call_later(SLOT_S, self._answer_expired)
         for connection in self._waiting.remove_expired(self._loop.time()):
             self._answer(connection)
 
     def _answer(self, connection: WatchConnection) -> None:
-        """Answer a call now, or in its turn where the response is large."""
+        """Answer a call at once, or queue its response if that is large."""
         assert connection.call is not None
         base = self._list.base_revision(connection.call.index)
         if len(self._response(base)) <= LARGE_RESPONSE_BYTES:
@@ -288,7 +293,7 @@
         self._large_responses.schedule()
 
     def _respond(self, connection: WatchConnection) -> None:
-        """Write the response with what is known by now."""
+        """Write the response to a call, with the list as it is at this time."""
         call, connection.call = connection.call, None
         assert call is not None
         base = self._list.base_revision(call.index)
@@ -310,7 +315,10 @@
             self.counts.deltas += 1
 
     def _response(self, base: int | None) -> bytes:
-        """Return the response to a client that has revision `base`; None: with the complete list."""
+        """Return the encoded response to a client that has revision `base`.
+
+        If `base` is None, the response is the complete list.
+        """
         response = self._responses.get(base)
         if response is None:
             body = self._list.response_body(base)
@@ -320,7 +328,7 @@
 
 
 async def main() -> None:
-    """Run the role until its input ends."""
+    """Run the role until its standard input ends."""
     discovery = EmulatedDiscovery()
     try:
         await serve(discovery.commands())
--- a/nickelmount/fleet/emulated_endpoints.py
+++ b/nickelmount/fleet/emulated_endpoints.py
@@ -206,7 +206,7 @@
 
 
 async def main() -> None:
-    """Run the role until its input ends."""
+    """Run the role until its standard input ends."""
     endpoints = EmulatedEndpoints()
     try:
         await serve({"start": endpoints.start, "counts": endpoints.status})
--- a/nickelmount/fleet/experiment.py
+++ b/nickelmount/fleet/experiment.py
@@ -1,6 +1,6 @@
-"""The experiment file: sizes, seed and events, read from TOML and checked before anything starts.
+"""The experiment file: sizes, seed and events, read from TOML and validated before any process starts.
 
-Attributes that have another name than their key give the key as `name`.
+An attribute whose name differs from its key in the file gives the key as `name`.
 """
 
 from __future__ import annotations
@@ -14,9 +14,11 @@
 
 from .discovery_messages import HistoryAfterOutage, OutageKind
 from .errors import ExperimentError
-from .versioned_list import Phase, Where
+from .versioned_list import ChangeScope, Phase
 
-MAX_WORKERS = 64  # processes of hollow agents; with at most 32 real ones and the rest well under 200
+# Limit on the processes of hollow agents. With at most 32 real agents and the other roles, a run then has
+# well under 200 processes.
+MAX_WORKERS = 64
 
 Share = Annotated[float, Meta(gt=0, le=1)]
 Seconds = Annotated[float, Meta(ge=0, le=3600)]
@@ -24,7 +26,7 @@
 
 
 class Table(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A table of the file. An unknown key is refused: a misspelt one must not pass for its default."""
+    """A table of the file. An unknown key is an error, because a misspelt key would otherwise be ignored."""
 
 
 class ServerSettings(Table, frozen=True):
@@ -34,34 +36,38 @@
     regions: Annotated[int, Meta(ge=1, le=100)] = 3
     zones_per_region: Annotated[int, Meta(ge=1, le=100)] = 4
     racks_per_zone: Annotated[int, Meta(ge=1, le=1000)] = 5
-    sockets: Annotated[int, Meta(ge=1, le=256)] = 32  # listening sockets that all of them share
-    work_ms: Annotated[float, Meta(ge=0, le=10_000)] = 0.0  # until an endpoint answers
+    sockets: Annotated[int, Meta(ge=1, le=256)] = 32  # Listening sockets that all servers share.
+    work_ms: Annotated[float, Meta(ge=0, le=10_000)] = 0.0  # Service time of an endpoint.
 
 
 class AgentSettings(Table, frozen=True):
-    """The agents."""
+    """The number of agents of each kind, and how they are configured."""
 
-    hollow: Count = 40  # complete lists and decision state, no clients
-    real: Annotated[int, Meta(ge=0, le=32)] = 1  # processes of their own, with requests
-    workers: Annotated[int, Meta(ge=0, le=MAX_WORKERS)] = 0  # processes of hollow agents; 0: by cores
-    # Hollow agents of a process share the entries of equal lists.
+    hollow: Count = 40  # Agents with an endpoint list and decision state, but without clients.
+    real: Annotated[int, Meta(ge=0, le=32)] = 1  # Agents in processes of their own that handle requests.
+    # Processes that the hollow agents are spread over; 0 derives the number from the cores of the machine.
+    workers: Annotated[int, Meta(ge=0, le=MAX_WORKERS)] = 0
+    # Whether the hollow agents of one process share the entries of equal lists.
     share_lists: bool = field(name="shared", default=False)
-    # What each agent takes for the number of agents, unless there are more; 0: one for each server.
+    # The number of agents that each agent is configured with, unless the fleet has more; 0 means one agent
+    # for each listed server.
     instance_count: Count = field(name="siblings", default=0)
 
 
 class DiscoverySettings(Table, frozen=True):
-    """Emulated discovery."""
+    """How emulated discovery works, and how agents use it."""
 
     mode: Literal["ask", "push"] = "ask"
-    history: Annotated[int, Meta(ge=0, le=1_000_000)] = 1024  # changes that it remembers
+    # Number of changes that discovery remembers, so that it can answer with a delta.
+    history: Annotated[int, Meta(ge=0, le=1_000_000)] = 1024
 
 
 class RequestSettings(Table, frozen=True):
-    """Open-loop arrivals, through each real agent and, in the same run, sent directly."""
+    """Open-loop requests, sent through each real agent and, in the same run, directly to endpoints."""
 
-    # A second, to each real agent.
+    # Requests per second to each real agent.
     rate_per_s: Annotated[float, Meta(gt=0, le=1000)] = field(name="rate", default=70.0)
+    # Requests per second that are sent directly to all endpoints together.
     direct_rate_per_s: Annotated[float, Meta(gt=0, le=10_000)] = field(name="direct_rate", default=70.0)
     arrivals: Literal["poisson", "even"] = "poisson"
     timeout_ms: Annotated[int, Meta(ge=10, le=60_000)] = 2000
@@ -69,40 +75,43 @@
 
 
 class Event(Table, tag_field="kind", frozen=True):
-    """Something that happens `at_s` after the measured time began."""
+    """An event that happens `at_s` seconds after the start of the measured time."""
 
     at_s: Seconds
 
     @property
     def label(self) -> str:
-        """The event's name in results and progress, such as ``change@2.5``."""
+        """The name of the event in results and in progress lines, such as ``change@2.5``."""
         return f"{type(self).__struct_config__.tag}@{self.at_s:g}"
 
 
 class ListChange(Event, tag="change", frozen=True):
-    """Servers change their phase, in one revision. SERVING: those that did not serve come back restarted."""
+    """A change of the phase of some servers, published as one revision.
+
+    With the phase SERVING, all servers that are draining or deleted return as if they had restarted.
+    """
 
     phase: Phase = "DRAINING"
-    where: Where = "any"
-    count: Annotated[int, Meta(ge=1, le=20_000)] = 1  # where `any`
-    replaced: bool = False  # those that come back have new ids
+    where: ChangeScope = "any"
+    count: Annotated[int, Meta(ge=1, le=20_000)] = 1  # Used only if `where` is "any".
+    replaced: bool = False  # Whether deleted servers return under new ids.
 
 
 class SteadyChangeRate(Event, tag="drip", frozen=True):
-    """From now on single changes at an even rate; 0 ends them."""
+    """The start of changes of one server each at a constant rate; a rate of 0 stops them."""
 
     per_s: Annotated[float, Meta(ge=0, le=100)] = 1.0
 
 
 class AgentRestart(Event, tag="restart", frozen=True):
-    """A share of the agents ends at once, and starts again with the list that it started with before."""
+    """An abrupt restart of a share of the agents, each with the list that it was configured with."""
 
     share: Share = 0.1
-    real: bool = False  # of the real ones too
+    real: bool = False  # Whether real agents are restarted too.
 
 
 class Outage(Event, tag="outage", frozen=True):
-    """Discovery is down, and returns with its history or without."""
+    """An outage of discovery, after which discovery has its history of changes or has lost it."""
 
     duration_s: Annotated[float, Meta(gt=0, le=3600)] = field(name="for_s", default=5.0)
     outage_kind: OutageKind = field(name="how", default="refused")
@@ -113,14 +122,16 @@
 
 
 class Experiment(Table, frozen=True):
-    """One file."""
+    """The contents of an experiment file."""
 
     name: Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_-]*$", max_length=60)]
     seed: Annotated[int, Meta(ge=0)] = 1
     runs: Annotated[int, Meta(ge=1, le=20)] = field(name="plays", default=1)
-    warm_up_s: Seconds = field(name="warm_s", default=2.0)  # before the measured time, at least
+    # Minimum duration of the warm-up before the measured time.
+    warm_up_s: Seconds = field(name="warm_s", default=2.0)
     measured_s: Annotated[float, Meta(gt=0, le=3600)] = field(name="seconds", default=10.0)
-    max_settle_s: Seconds = field(name="settle_s", default=13.0)  # after it, until all agents have the list
+    # Maximum time after the measured time until all agents have the latest list.
+    max_settle_s: Seconds = field(name="settle_s", default=13.0)
     servers: ServerSettings = ServerSettings()
     agents: AgentSettings = AgentSettings()
     discovery: DiscoverySettings = DiscoverySettings()
@@ -129,14 +140,14 @@
 
     @property
     def instance_count(self) -> int:
-        """The number of agents that each one is configured with, unless the fleet has more."""
+        """The number of agents that each agent is configured with, unless the fleet has more."""
         return self.agents.instance_count or max(1, self.servers.listed)
 
 
 def read_experiment(path: Path, overrides: tuple[str, ...] = ()) -> Experiment:
-    """Return the experiment in the file, with overrides ``table.key=value`` (the value as in TOML).
+    """Read an experiment file and apply overrides of the form ``table.key=value``, with the value in TOML.
 
-    Raises ExperimentError.
+    Raises ExperimentError if the file cannot be read, or if it or an override is invalid.
     """
     try:
         document = tomllib.loads(path.read_text())
@@ -147,8 +158,8 @@
     try:
         experiment = msgspec.convert(document, Experiment)
     except msgspec.ValidationError as error:
-        raise ExperimentError(f"{path}: {_key_first(str(error))}") from None
-    _check_between_keys(path, experiment)
+        raise ExperimentError(f"{path}: {_with_key_first(str(error))}") from None
+    _check_consistency(path, experiment)
     return experiment
 
 
@@ -160,7 +171,7 @@
     key, separator, value_text = override.partition("=")
     try:
         if not separator:
-            raise ValueError("is not of the form key=value")
+            raise ValueError("the override has no '='; expected key=value")
         value = tomllib.loads(f"value = {value_text}")["value"]
     except ValueError as error:
         raise ExperimentError(f"{key}: {_one_line(error)}") from None
@@ -168,21 +179,25 @@
     for table in tables:
         inner = document.setdefault(table, {})
         if not isinstance(inner, dict):
-            raise ExperimentError(f"{key}: {table} is no table")
+            raise ExperimentError(f"{key}: {table} is not a table")
         document = inner
     document[name] = value
 
 
-def _key_first(text: str) -> str:
-    """Turn "Expected `int`, got `str` - at `$.agents.real`" round: the key first, then the fault."""
+def _with_key_first(text: str) -> str:
+    """Return an error text of msgspec with the key moved to its beginning.
+
+    For example, "Expected `int`, got `str` - at `$.agents.real`" becomes
+    "agents.real: Expected `int`, got `str`".
+    """
     fault, separator, path = text.partition(" - at `$")
     return f"{path.strip('`.') or 'the file'}: {fault}" if separator else text
 
 
-def _check_between_keys(path: Path, experiment: Experiment) -> None:
-    """Raise ExperimentError where keys contradict each other."""
+def _check_consistency(path: Path, experiment: Experiment) -> None:
+    """Raise ExperimentError if the values of different keys contradict each other."""
     if not experiment.agents.hollow and not experiment.agents.real:
-        raise ExperimentError(f"{path}: agents: there are none, neither hollow nor real")
+        raise ExperimentError(f"{path}: agents: hollow and real are both 0; at least one agent is needed")
     outage_ends_s = previous_s = 0.0
     for index, event in enumerate(experiment.events):
         key = f"{path}: events[{index}]"
@@ -190,19 +205,25 @@
         previous_s = event.at_s
         if isinstance(event, Outage):
             if event.at_s < outage_ends_s:
-                raise ExperimentError(f"{key}.at_s: discovery is down already")
+                raise ExperimentError(f"{key}.at_s: discovery is already down")
             outage_ends_s = event.at_s + event.duration_s
             if outage_ends_s > experiment.measured_s:
-                raise ExperimentError(f"{key}.for_s: it ends behind seconds = {experiment.measured_s}")
+                raise ExperimentError(
+                    f"{key}.for_s: the outage ends at {outage_ends_s} s, after the end of the measured time "
+                    f"(seconds = {experiment.measured_s})"
+                )
 
 
 def _check_event(key: str, event: FileEvent, previous_s: float, experiment: Experiment) -> None:
     if event.at_s > experiment.measured_s:
         raise ExperimentError(
-            f"{key}.at_s: {event.at_s} is behind the end, seconds = {experiment.measured_s}"
+            f"{key}.at_s: {event.at_s} is after the end of the measured time "
+            f"(seconds = {experiment.measured_s})"
         )
     if event.at_s < previous_s:
-        raise ExperimentError(f"{key}.at_s: events are to be in order of time")
+        raise ExperimentError(
+            f"{key}.at_s: {event.at_s} is before the previous event; events must be in order"
+        )
     listed = experiment.servers.listed
     if isinstance(event, ListChange) and event.where == "any" and event.count > listed:
-        raise ExperimentError(f"{key}.count: {event.count} of {listed} servers")
+        raise ExperimentError(f"{key}.count: {event.count} is more than the {listed} servers listed")
--- a/nickelmount/fleet/fleet_processes.py
+++ b/nickelmount/fleet/fleet_processes.py
@@ -1,4 +1,7 @@
-"""The processes of one run: discovery, endpoints, agents and load generator; their start, status and end."""
+"""The start, the status and the end of the processes of one run.
+
+These processes are discovery, the endpoints, the agents and the load generator.
+"""
 
 from __future__ import annotations
 
@@ -28,25 +31,25 @@
 from .figures import Figures
 from .load_messages import AgentTarget, DirectTarget, LoadSettings
 from .propagation import HollowWorker
-from .role import Nothing
+from .role import EmptyAnswer
 from .role_process import RoleProcess
 from .usage_figures import FleetStatus
-from .versioned_list import generate
+from .versioned_list import generate_entries
 
-FIRST_REVISION = 1000  # so that revisions that start from 1 again are seen to
+FIRST_REVISION = 1000  # A number above 1, so that revisions that start again from 1 can be recognized.
 MEMORY_CHECK_INTERVAL_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class RealAgents:
-    """The processes that exist only where there are real agents."""
+    """The processes that exist only if the experiment has real agents."""
 
-    agents: RoleProcess  # keeps them
+    agents: RoleProcess  # The process that starts and ends the real agents.
     load_generator: RoleProcess
 
 
 class FleetProcesses:
-    """All processes of a run. Whoever creates it calls `end`, also where `start` failed."""
+    """All processes of a run. The owner must call `end`, even if `start` fails."""
 
     def __init__(self, experiment: Experiment, seed: int, report_progress: Callable[[str], None]) -> None:
         self._experiment, self._seed, self._report_progress = experiment, seed, report_progress
@@ -55,13 +58,16 @@
         self._endpoints: RoleProcess | None = None
         self._real: RealAgents | None = None
         self.workers: list[HollowWorker] = []
-        self.first_revision = 0  # the one that all agents start with
+        self.first_revision = 0  # Revision of the list that all agents start with.
         self.peak_memory_mb = 0.0
 
     # Start and end
 
     async def start(self) -> Figures:
-        """Start all; returns what that took. Raises RoleError and OSError."""
+        """Start all processes, and return figures of the time and memory that this took.
+
+        Raises RoleError if a process fails, and OSError if one cannot be started.
+        """
         experiment, servers = self._experiment, self._experiment.servers
         self._endpoints = await self._start_role("emulated_endpoints")
         self._discovery = await self._start_role("emulated_discovery")
@@ -83,7 +89,7 @@
         known_list = {
             "revision": discovery.revision,
             "complete": True,
-            "members": msgspec.to_builtins(generate(settings)),
+            "members": msgspec.to_builtins(generate_entries(settings)),
         }
         figures: Figures = {"list.size.bytes": discovery.list_bytes}
         if experiment.agents.hollow:
@@ -93,18 +99,21 @@
         return figures
 
     async def end(self) -> None:
-        """End all processes, also those that no longer answer."""
+        """End all processes, including those that no longer answer."""
         await asyncio.gather(*(process.end() for process in reversed(self._processes)))
 
     async def watch_memory(self, max_mb: float) -> None:
-        """Note the peak of the memory in use, for ever; raises RunError where it passes `max_mb`."""
+        """Record the peak memory of all processes until cancelled.
+
+        Raises RunError if they use more than `max_mb`.
+        """
         while True:
             used_mb = sum(
                 await asyncio.to_thread(lambda: [process.memory_mb() for process in self._processes])
             )
             self.peak_memory_mb = max(self.peak_memory_mb, used_mb)
             if used_mb > max_mb:
-                raise RunError(f"memory: {used_mb:.0f} MB in use, {max_mb:.0f} MB allowed; take fewer agents")
+                raise RunError(f"memory: {used_mb:.0f} MB in use, {max_mb:.0f} MB allowed; use fewer agents")
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
 
     async def _start_role(self, module: str) -> RoleProcess:
@@ -133,9 +142,9 @@
                 for worker in self.workers
             )
         )
-        grown_mb = sum(answer.rss_mb - answer.before.rss_mb for answer in answers)
+        growth_mb = sum(answer.rss_mb - answer.before.rss_mb for answer in answers)
         return {
-            "hollow.memory.mb": grown_mb / agents.hollow,
+            "hollow.memory.mb": growth_mb / agents.hollow,
             "hollow.start.s": time.monotonic() - started_s,
         }
 
@@ -168,31 +177,31 @@
             timeout_ms=requests.timeout_ms,
             body_bytes=requests.body_bytes,
         )
-        await load_generator.call(Nothing, "start", **msgspec.structs.asdict(settings))
+        await load_generator.call(EmptyAnswer, "start", **msgspec.structs.asdict(settings))
         return {"real.ready.s": max(started.ready_s)}
 
     # Commands to the processes
 
     @property
     def discovery(self) -> RoleProcess:
-        """Emulated discovery."""
+        """The process of emulated discovery. It must have been started."""
         assert self._discovery is not None
         return self._discovery
 
     async def begin_phase(self, name: str) -> None:
-        """Count requests due from now on in this phase."""
+        """Count the requests that become due from now on in the phase with this name."""
         if self._real is not None:
-            await self._real.load_generator.call(Nothing, "phase", name=name)
+            await self._real.load_generator.call(EmptyAnswer, "phase", name=name)
 
     async def restart_real_agents(self, indices: list[int]) -> list[float]:
-        """Kill and start these; returns the seconds until each was ready again."""
+        """Kill and restart these real agents, and return the seconds until each one was ready again."""
         if not indices:
             return []
         assert self._real is not None
         return (await self._real.agents.call(AgentsRestarted, "restart", indices=indices)).ready_s
 
     async def restart_hollow_agents(self, numbers: frozenset[int]) -> None:
-        """End and start these."""
+        """End and restart the hollow agents with these numbers."""
         await asyncio.gather(
             *(
                 worker.process.call(
@@ -203,25 +212,28 @@
         )
 
     async def stop_load(self) -> None:
-        """Send no more requests, and wait for those in flight."""
+        """Stop sending requests, and wait for those in flight."""
         if self._real is not None:
-            await self._real.load_generator.call(Nothing, "stop")
+            await self._real.load_generator.call(EmptyAnswer, "stop")
 
     async def load_results(self) -> dict[str, Any] | None:
-        """Return what the load generator measured; None: there is none. Only after `stop_load`."""
+        """Return the results of the load generator, or None if there is no load generator.
+
+        May be called only after `stop_load`.
+        """
         return None if self._real is None else await self._real.load_generator.call(dict[str, Any], "results")
 
     async def repeated_request_ids(self) -> int:
-        """Return how many Request-Ids the endpoints have seen more than once."""
+        """Return the number of Request-Ids that the endpoints have received more than once."""
         assert self._endpoints is not None
         return (await self._endpoints.call(EndpointsStatus, "counts")).repeated_ids
 
     async def discovery_status(self) -> DiscoveryStatus:
-        """Return the counts and the usage of discovery."""
+        """Return the counts and the resource usage of discovery."""
         return await self.discovery.call(DiscoveryStatus, "counts")
 
     async def status(self) -> FleetStatus:
-        """Return the counts and the usage of all."""
+        """Return the counts and the resource usage of discovery and all agents."""
         workers = await asyncio.gather(
             *(worker.process.call(WorkerStatus, "counts") for worker in self.workers)
         )
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -190,7 +190,7 @@
 
 
 async def main() -> None:
-    """Run the role until its input ends."""
+    """Run the role until its standard input ends."""
     logging.basicConfig(level=logging.ERROR)  # warnings of failed calls are left out; the calls are counted
     worker = HollowAgentWorker()
     await serve(
--- a/nickelmount/fleet/load_generator.py
+++ b/nickelmount/fleet/load_generator.py
@@ -25,7 +25,7 @@
 from .precise_loop import PreciseEventLoopPolicy
 from .request_statistics import WARM_UP_PHASE, RequestPath
 from .request_tracker import RequestTracker
-from .role import Nothing, run, serve, typed_command, usage
+from .role import EmptyAnswer, run, serve, typed_command, usage
 
 CONNECTION_BUSY_S = 0.03  # with one request: its answer and the delay until reuse, as an upper estimate
 POLL_AHEAD_NS = 400_000  # before a request is due the loop only polls: to wake up takes 0.2 to 0.3 ms
@@ -100,7 +100,7 @@
         self._pools: list[LoadConnectionPool] = []
         self._streams: list[RequestStream] = []
 
-    async def start(self, settings: LoadSettings) -> Nothing:
+    async def start(self, settings: LoadSettings) -> EmptyAnswer:
         """Open the connections, then send; requests count in the phase "warm" until another is named.
 
         Raises ValueError where the settings make no sense or it has started before, and OSError where a port
@@ -128,14 +128,14 @@
         at_ns = monotonic_ns()
         for request_stream in self._streams:
             request_stream.start(at_ns)
-        return Nothing()
+        return EmptyAnswer()
 
-    async def phase(self, name: str) -> Nothing:
+    async def phase(self, name: str) -> EmptyAnswer:
         """Count requests due from now on in the phase of this name."""
         self._require_started().begin_phase(name)
-        return Nothing()
+        return EmptyAnswer()
 
-    async def stop(self) -> Nothing:
+    async def stop(self) -> EmptyAnswer:
         """Send no more, and wait for the requests in flight, each of which ends by its timeout."""
         tracker = self._require_started()
         for stream in self._streams:
@@ -143,7 +143,7 @@
         if tracker.in_flight:
             await tracker.all_ended.wait()
         self.close()
-        return Nothing()
+        return EmptyAnswer()
 
     async def results(self) -> dict[str, Any]:
         """Return the statistics by phase and path; times in the histograms are in us.
@@ -200,7 +200,7 @@
 
 
 async def main() -> None:
-    """Run the role until its input ends."""
+    """Run the role until its standard input ends."""
     generator = LoadGenerator()
     try:
         await serve(
--- a/nickelmount/fleet/role.py
+++ b/nickelmount/fleet/role.py
@@ -23,7 +23,7 @@
 MAX_LINE_BYTES = 64 * 1024 * 1024  # histograms, and times of thousands of agents, are one line
 
 
-class Nothing(msgspec.Struct, frozen=True):
+class EmptyAnswer(msgspec.Struct, frozen=True):
     """The answer of a command that has nothing to say."""
 
 
--- a/nickelmount/fleet/runner.py
+++ b/nickelmount/fleet/runner.py
@@ -1,4 +1,4 @@
-"""One run of an experiment: starts the processes, makes the events happen and gathers the figures."""
+"""One run of an experiment: it starts the processes, triggers the events and collects the figures."""
 
 from __future__ import annotations
 
@@ -17,41 +17,43 @@
 from .propagation import PropagationMeasurement, PropagationTarget
 from .request_figures import request_figures
 from .request_statistics import WARM_UP_PHASE
-from .role import Nothing
+from .role import EmptyAnswer
 from .usage_figures import usage_figures
 
-MAX_MEMORY_SHARE = 0.5  # of the machine's memory
-START_AND_END_TIMEOUT_S = 120.0  # of all processes together, besides the durations in the file
-WATCH_TIMEOUT_S = 60.0  # until all agents watch
+MAX_MEMORY_SHARE = 0.5  # Share of the machine's memory that all processes together may use.
+START_AND_END_TIMEOUT_S = 120.0  # Time allowed for a run in addition to the durations in the file.
+WATCH_TIMEOUT_S = 60.0  # Time allowed until all agents watch the endpoint list.
 WATCH_POLL_INTERVAL_S = 0.1
 PROGRESS_INTERVAL_S = 2.0
-FIRST_PHASE = "steady"  # from the start of the measured time until the first event
+FIRST_PHASE = "steady"  # The phase from the start of the measured time until the first event.
 
 
 class OutageEnd(Event, tag="back", frozen=True):
-    """Discovery returns. Not in the file: it follows from the outage."""
+    """The end of an outage. It is not listed in the file, because it follows from the outage."""
 
     outage: Outage
 
 
 class ExperimentRun:
-    """One run; `report_progress` is called with one line at a time."""
+    """One run of an experiment. `report_progress` is called with one line of text at a time."""
 
     def __init__(self, experiment: Experiment, seed: int, report_progress: Callable[[str], None]) -> None:
         self._experiment, self._report_progress = experiment, report_progress
         self._random = Random(seed)
         self._fleet = FleetProcesses(experiment, seed, report_progress)
-        # The list of workers is shared: the fleet fills it as it starts them.
+        # This is the fleet's own list of workers, which is still empty here; the fleet adds each worker to
+        # it when it starts the worker.
         self._propagation = PropagationMeasurement(self._fleet.workers)
         self._figures: Figures = {}
-        self._started_s = 0.0  # of the measured time
-        self._revision = 0  # of the list, now
+        self._measuring_since_s = 0.0  # Monotonic time at which the measured time started.
+        self._revision = 0  # Latest known revision of the endpoint list.
         self._discovery_is_down = self._changed_while_down = False
 
     async def run(self) -> Figures:
-        """Return the figures. All processes have ended then, also where it raises.
+        """Carry out the run and return its figures.
 
-        Raises RunError where the run takes too long or too much memory, RoleError where a process failed.
+        All processes have ended when this returns or raises. Raises RunError if the run takes too long or
+        uses too much memory, and RoleError if a process fails.
         """
         experiment = self._experiment
         timeout_s = (
@@ -68,11 +70,11 @@
                 await self._start_and_measure()
                 memory_watch.cancel()
         except TimeoutError:
-            raise RunError(f"not over within {timeout_s:.0f} s") from None
+            raise RunError(f"the run did not end within {timeout_s:.0f} s") from None
         except BaseExceptionGroup as errors:
             raise errors.exceptions[0] from None
         finally:
-            # Shielded, so that a cancellation that arrives meanwhile does not stop it half-way.
+            # The shield keeps a cancellation that arrives now from interrupting the end of the processes.
             await asyncio.shield(self._fleet.end())
         self._figures["fleet.memory_most.mb"] = self._fleet.peak_memory_mb
         return self._figures
@@ -85,7 +87,7 @@
         await self._measure()
 
     async def _warm_up(self) -> None:
-        """Wait until all agents watch, and for the warm-up time at least."""
+        """Wait until all agents watch the endpoint list, and at least for the warm-up time."""
         experiment, started_s = self._experiment, time.monotonic()
         agents = experiment.agents.hollow + experiment.agents.real
         while True:
@@ -94,19 +96,21 @@
             if waiting >= agents and elapsed_s >= experiment.warm_up_s:
                 return
             if elapsed_s > WATCH_TIMEOUT_S:
-                raise RunError(f"only {waiting} of {agents} agents watch after {WATCH_TIMEOUT_S:.0f} s")
+                raise RunError(
+                    f"only {waiting} of {agents} agents watch the list after {WATCH_TIMEOUT_S:.0f} s"
+                )
             await asyncio.sleep(WATCH_POLL_INTERVAL_S)
 
     async def _measure(self) -> None:
         experiment = self._experiment
         before = await self._fleet.status()
-        self._started_s = time.monotonic()
+        self._measuring_since_s = time.monotonic()
         await self._fleet.begin_phase(FIRST_PHASE)
         for event in _events_in_order(experiment):
             await self._sleep_until(event.at_s)
             self._report_progress(f"{event.at_s:6.1f} s  {event.label}")
             await self._fleet.begin_phase(event.label)
-            await self._carry_out(event)
+            await self._trigger(event)
         await self._sleep_until(experiment.measured_s)
         after = await self._fleet.status()
         await self._fleet.stop_load()
@@ -118,23 +122,24 @@
             self._figures["servers.seen_twice.count"] = await self._fleet.repeated_request_ids()
 
     async def _sleep_until(self, at_s: float) -> None:
-        """Sleep until a time of the experiment, with a line of progress now and then."""
-        while (remaining_s := self._started_s + at_s - time.monotonic()) > 0:
+        """Sleep until `at_s` seconds of the measured time have passed, and report progress meanwhile."""
+        while (remaining_s := self._measuring_since_s + at_s - time.monotonic()) > 0:
             await asyncio.sleep(min(remaining_s, PROGRESS_INTERVAL_S))
             if remaining_s > PROGRESS_INTERVAL_S:
                 status = await self._fleet.discovery_status()
                 self._report_progress(
-                    f"{time.monotonic() - self._started_s:6.1f} s  revision {self._revision}, "
-                    f"{status.waiting} wait, {status.calls} calls, {status.bytes_sent / 1e6:.1f} MB sent"
+                    f"{time.monotonic() - self._measuring_since_s:6.1f} s  revision {self._revision}, "
+                    f"{status.waiting} watches waiting, {status.calls} calls, "
+                    f"{status.bytes_sent / 1e6:.1f} MB sent"
                 )
 
     # Events
 
-    async def _carry_out(self, event: Event) -> None:
+    async def _trigger(self, event: Event) -> None:
         if isinstance(event, ListChange):
             await self._change_list(event)
         elif isinstance(event, SteadyChangeRate):
-            await self._fleet.discovery.call(Nothing, "drip", per_s=event.per_s, seed=self._next_seed())
+            await self._fleet.discovery.call(EmptyAnswer, "drip", per_s=event.per_s, seed=self._next_seed())
         elif isinstance(event, AgentRestart):
             await self._restart_agents(event)
         elif isinstance(event, Outage):
@@ -165,7 +170,8 @@
         )
         self._discovery_is_down = False
         if not self._changed_while_down:
-            # Without a change the agents would get no list, and their recovery could not be seen.
+            # The recovery of the agents is measured by a list that they receive, and without a change they
+            # would receive none.
             latest = await self._fleet.discovery.call(
                 ListPublished, "change", count=1, where="any", phase="DRAINING", seed=self._next_seed()
             )
@@ -186,7 +192,8 @@
         )
         if ready_s:
             self._figures["real.ready_again.s"] = max(ready_s)
-        # At the first revision the list that agents start with is the latest, and they receive none.
+        # At the first revision the agents already start with the latest list and receive no other one, so
+        # that there is no delay to measure.
         if self._revision > self._fleet.first_revision and numbers:
             target = PropagationTarget(event.label, self._revision, at_ns, numbers)
             self._propagation.add(target)
@@ -196,7 +203,10 @@
 
 
 def _events_in_order(experiment: Experiment) -> list[Event]:
-    """Return the events of the file and the ends of its outages; the former first at equal times."""
+    """Return the events of the file and the ends of its outages in order of time.
+
+    At equal times, the events of the file come first.
+    """
     outage_ends = [
         OutageEnd(at_s=event.at_s + event.duration_s, outage=event)
         for event in experiment.events
--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -38,7 +38,7 @@
 from .figures import Figures, quantile
 from .role import run, serve, usage
 from .steady_changes import unix_time_ms
-from .versioned_list import ServerLayout, VersionedList, generate
+from .versioned_list import ServerLayout, VersionedList, generate_entries
 
 CHANGES = 200  # single ones, each timed
 REPEATED_LISTS = 5
@@ -81,7 +81,7 @@
             racks_per_zone=experiment.servers.racks_per_zone,
             ports=[9000],
         )
-        self._list = VersionedList(generate(layout), CHANGES)
+        self._list = VersionedList(generate_entries(layout), CHANGES)
         clock = Clock()
         empty_list = {"revision": 0, "complete": True, "members": []}
         self._config = config_from(build_agent_config(experiment, 0, 9, empty_list), {}, clock)
@@ -162,7 +162,7 @@
 
 
 async def main() -> None:
-    """Run the role until its input ends."""
+    """Run the role until its standard input ends."""
 
     async def measure(servers: int, seed: int) -> Figures:
         return ScalingProbe(servers, seed).figures()
--- a/nickelmount/fleet/versioned_list.py
+++ b/nickelmount/fleet/versioned_list.py
@@ -1,4 +1,7 @@
-"""The endpoint list of emulated discovery: entries, revision and last changes. No I/O, no clock."""
+"""The endpoint list of emulated discovery, with its revision and its latest changes.
+
+Nothing here does I/O or reads a clock.
+"""
 
 from __future__ import annotations
 
@@ -10,23 +13,23 @@
 import msgspec
 from msgspec import field
 
-Phase = Literal["SERVING", "DRAINING", "DELETED"]  # of an entry, as on the wire
-Where = Literal["any", "rack", "zone", "region"]
+Phase = Literal["SERVING", "DRAINING", "DELETED"]  # Phase of an entry as it is on the wire.
+ChangeScope = Literal["any", "rack", "zone", "region"]
 
-CAPACITIES = {"fast-1c": 2.0, "mid-1c": 1.2, "slow-1c": 0.8}  # by machine type
+CAPACITIES = {"fast-1c": 2.0, "mid-1c": 1.2, "slow-1c": 0.8}  # Capacity by machine type.
 
 
 class ListEntry(msgspec.Struct, frozen=True, gc=False):
-    """A server as discovery lists it. Attributes with another name than their key give the key."""
+    """A server as discovery lists it. A field whose name differs from its key gives the key as `name`."""
 
     id: str
     address: str = field(name="host_port")
-    zone: str = field(name="locality")  # such as "r0-z1": region 0, zone 1
+    zone: str = field(name="locality")  # For example "r0-z1" for region 0, zone 1.
     machine_type: str = field(name="flavor")
-    rack: int = field(name="cell")  # no two zones share a number
+    rack: int = field(name="cell")  # Rack number, which is unique across zones.
     phase: Phase
     capacity: float = field(name="size")
-    started_at_ms: int = field(name="up_since_ms")  # Unix time; 0: long ago
+    started_at_ms: int = field(name="up_since_ms")  # Unix time in ms; 0 if long ago.
 
 
 class _Body(msgspec.Struct):
@@ -39,45 +42,47 @@
 
 
 class VersionedList:
-    """The list, its revision, and its last `history` changes.
+    """The endpoint list, its revision, and its latest changes, of which it keeps up to `history`.
 
-    All response bodies are kept until the next change: thousands of watches ask for the same one.
+    Response bodies are cached until the next change, because thousands of watches ask for the same one.
     """
 
     def __init__(self, entries: Iterable[ListEntry], history: int, revision: int = 1) -> None:
         self.revision = revision
         self._listed = {entry.id: entry for entry in entries}
-        self._deleted: dict[str, ListEntry] = {}  # that `restore` lists again
-        # By revision, the newest last, each entry as it was then: a delta names a deleted one from here.
+        self._deleted: dict[str, ListEntry] = {}  # Deleted entries by id; `restore` lists them again.
+        # The entries that each revision changed, as they were in that revision, with the latest revision
+        # last. Deltas are built from these entries, because a deleted server is no longer listed.
         self._history: deque[tuple[ListEntry, ...]] = deque(maxlen=history)
-        self._bodies: dict[int | None, bytes] = {}  # by base revision
+        self._bodies: dict[int | None, bytes] = {}  # Cached response bodies by base revision.
 
     def entries(self, phase: Phase | None = None) -> list[ListEntry]:
-        """Return the entries, or those in one phase; in an order that the same changes always give."""
+        """Return all entries, or those in one phase. The same sequence of changes gives the same order."""
         return [entry for entry in self._listed.values() if phase is None or entry.phase == phase]
 
     def phase(self, id_: str) -> Phase | None:
-        """Return the phase of an entry; None: it is not listed."""
+        """Return the phase of an entry, or None if it is not listed."""
         entry = self._listed.get(id_)
         return None if entry is None else entry.phase
 
-    # Changes. Each is one revision with all its entries, and none at all where it has none.
+    # Changes. Each call makes one new revision with all its entries, or no revision if it changes no entry.
 
     def change(self, ids: Iterable[str], phase: Phase, *, started_at_ms: int | None = None) -> int:
-        """Put listed servers into a phase; returns the revision. Raises KeyError where one is not listed."""
+        """Move listed servers to a phase, and return the revision; raises KeyError if one is not listed."""
         changes: dict[str, Any] = {"phase": phase}
         if started_at_ms is not None:
             changes["started_at_ms"] = started_at_ms
         return self._publish([msgspec.structs.replace(self._listed[id_], **changes) for id_ in ids])
 
     def add(self, entries: Iterable[ListEntry]) -> int:
-        """List more servers; returns the revision."""
+        """Add servers to the list, and return the revision."""
         return self._publish(list(entries))
 
     def restore(self, started_at_ms: int, replaced: Random | None = None) -> list[ListEntry]:
-        """Let all that do not serve do so, as processes started at this Unix time; returns their entries.
+        """Let all draining and deleted servers serve again, and return their new entries.
 
-        With `replaced`, those that were deleted get new ids drawn from it, as other servers in their places.
+        `started_at_ms` is the Unix time in ms at which their processes started. With `replaced`, deleted
+        servers get new ids drawn from it, as if other servers had taken their places.
         """
         restored = [entry for entry in self._listed.values() if entry.phase != "SERVING"]
         deleted, self._deleted = self._deleted, {}
@@ -93,7 +98,10 @@
         return restored
 
     def forget_history(self, renumber: bool = False) -> None:
-        """Forget all changes but not the list, as after a restart; `renumber`: and count revisions from 1."""
+        """Forget all changes but keep the list, as after a restart of discovery.
+
+        With `renumber`, revisions start again from 1.
+        """
         self._history.clear()
         self._bodies.clear()
         if renumber:
@@ -117,12 +125,18 @@
     # Responses
 
     def base_revision(self, index: int | None) -> int | None:
-        """Return the revision whose changes since answer a call with this index; None: the complete list."""
+        """Return the revision from which a delta can be sent to a client that has revision `index`.
+
+        Returns None if the client needs the complete list.
+        """
         is_remembered = index is not None and self.revision - len(self._history) <= index <= self.revision
         return index if is_remembered else None
 
     def response_body(self, index: int | None) -> bytes:
-        """Return what changed after `index`, each id once in its last state; or the complete list."""
+        """Return the encoded delta from revision `index`, or the complete list if a delta is not possible.
+
+        A delta has each changed entry once, in its latest state.
+        """
         base = self.base_revision(index)
         body = self._bodies.get(base)
         if body is None:
@@ -138,23 +152,25 @@
         return latest.values()
 
 
-def pick(
+def pick_server_ids(
     entries: Sequence[ListEntry],
-    where: Where,
+    where: ChangeScope,
     random: Random,
     *,
     share: float | None = None,
     count: int | None = None,
 ) -> list[str]:
-    """Return ids drawn at random: a share or a count from anywhere, or all of one rack, zone or region.
+    """Return the ids of a random choice of servers.
 
-    Raises ValueError where `where` is "any" and not exactly one of share and count is given.
+    If `where` is "any", the choice is a share or a count of the entries. Otherwise it is all entries of one
+    rack, zone or region. Raises ValueError if `where` is "any" and not exactly one of `share` and `count` is
+    given.
     """
     if where == "any":
         if (share is None) == (count is None):
-            raise ValueError("either a share or a count")
-        wanted = count if count is not None else round((share or 0.0) * len(entries))
-        return [entry.id for entry in random.sample(entries, min(wanted, len(entries)))]
+            raise ValueError("where 'any' needs either a share or a count")
+        sample_size = count if count is not None else round((share or 0.0) * len(entries))
+        return [entry.id for entry in random.sample(entries, min(sample_size, len(entries)))]
     place_of = _PLACES[where]
     places = sorted({place_of(entry) for entry in entries})
     chosen = random.choice(places) if places else None
@@ -169,18 +185,18 @@
 
 
 class ServerLayout(msgspec.Struct, frozen=True):
-    """How many servers there are, and where."""
+    """The number of servers and their distribution over regions, zones, racks and ports."""
 
     servers: int
-    seed: int  # of their ids and machine types
+    seed: int  # Seed of the random ids and machine types.
     regions: int
     zones_per_region: int
     racks_per_zone: int
-    ports: list[int]  # of 127.0.0.1, which the servers share in turn
+    ports: list[int]  # Ports on 127.0.0.1, which are assigned to the servers in rotation.
 
 
-def generate(layout: ServerLayout) -> list[ListEntry]:
-    """Return servers spread evenly over racks, the same for the same layout."""
+def generate_entries(layout: ServerLayout) -> list[ListEntry]:
+    """Return the entries of servers spread evenly over racks; equal layouts give equal entries."""
     random = Random(layout.seed)
     zones = [
         f"r{region}-z{zone}" for zone in range(layout.zones_per_region) for region in range(layout.regions)
--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -1,4 +1,4 @@
-"""Emulated discovery on loopback, watched by the agent's client of it."""
+"""Emulated discovery on loopback, watched by the agent's discovery client."""
 
 from __future__ import annotations
 
@@ -27,27 +27,31 @@
 from nickelmount.protocol.endpoint_list import EndpointList, EndpointListParser, ListedEndpoint
 
 LOCALITIES = ("r0-z0", "r0-z1", "r1-z0", "r1-z1")
-CLOCK = Clock()  # one, so that the same start is the same time to all
+# All clients share one clock, because two clocks may convert the same start time of a server differently.
+CLOCK = Clock()
 
 
 @contextlib.asynccontextmanager
 async def emulated_discovery(
     servers: int = 40, history: int = 100
 ) -> AsyncIterator[tuple[EmulatedDiscovery, int]]:
-    """Emulated discovery, and its port."""
-    discovery, faults = EmulatedDiscovery(), []
-    asyncio.get_running_loop().set_exception_handler(lambda _, fault: faults.append(fault))
+    """Start emulated discovery, and yield it and its port; close it at the end.
+
+    An exception that reaches the event loop fails the test.
+    """
+    discovery, exceptions = EmulatedDiscovery(), []
+    asyncio.get_running_loop().set_exception_handler(lambda _, context: exceptions.append(context))
     try:
-        async with asyncio.timeout(60):  # a hang fails the test; nothing is timed by this
+        async with asyncio.timeout(60):  # Only fails a test that hangs; no test measures this time.
             started = await discovery.start(DiscoveryStart(servers, 7, 2, 2, 2, [9001, 9002], history))
             yield discovery, started.port
     finally:
         await discovery.close()
-    assert faults == []
+    assert exceptions == []
 
 
 class ListClient:
-    """An agent's client of discovery, and the list that it knows."""
+    """An agent's discovery client, and the list that it has received."""
 
     def __init__(self, port: int, wait_ms: int = 20_000) -> None:
         parser = EndpointListParser(CLOCK, LOCALITIES)
@@ -58,42 +62,42 @@
     def watch(self) -> None:
         self.discovery.watch(self.receive)
 
-    def receive(self, listing: EndpointList | None) -> None:
-        if listing is not None:
-            if listing.complete:
+    def receive(self, endpoint_list: EndpointList | None) -> None:
+        if endpoint_list is not None:
+            if endpoint_list.complete:
                 self.known.clear()
-            self.known.update((m.endpoint.id, m) for m in listing.entries)
+            self.known.update((m.endpoint.id, m) for m in endpoint_list.entries)
             self.known = {
                 i: m for i, m in self.known.items() if m.endpoint.status is not EndpointStatus.REMOVED
             }
-        self.updates.put_nowait(listing)
+        self.updates.put_nowait(endpoint_list)
 
-    async def knows(self, revision: int) -> EndpointList:
-        """Watch, again where it breaks, until this revision has arrived."""
+    async def watch_until(self, revision: int) -> EndpointList:
+        """Watch until this revision or a later one has arrived, and again after each failed watch."""
         self.watch()
-        while (listing := await self.updates.get()) is None or listing.revision < revision:
-            if listing is None:
+        while (endpoint_list := await self.updates.get()) is None or endpoint_list.revision < revision:
+            if endpoint_list is None:
                 self.watch()
-        return listing
+        return endpoint_list
 
 
-async def listed(port: int) -> dict[object, ListedEndpoint]:
-    """The complete list, as a new client gets it."""
+async def fetch_list(port: int) -> dict[object, ListedEndpoint]:
+    """Return the complete list as a new client receives it."""
     client = ListClient(port)
     client.discovery.fetch(client.receive)
-    assert (listing := await client.updates.get()) is not None
-    assert listing.complete
+    assert (endpoint_list := await client.updates.get()) is not None
+    assert endpoint_list.complete
     return client.known
 
 
-def keys(status: DiscoveryStatus) -> dict[str, Any]:
-    """The counts under their keys on the wire."""
+def wire_counts(status: DiscoveryStatus) -> dict[str, Any]:
+    """Return the counts under their keys on the wire."""
     return {**msgspec.to_builtins(status)}
 
 
-async def until(discovery: EmulatedDiscovery, **figures: int) -> None:
-    """Wait until the counts, by their keys on the wire, are these."""
-    while (counts := keys(await discovery.status())) | figures != counts:
+async def wait_for_counts(discovery: EmulatedDiscovery, **expected: int) -> None:
+    """Wait until the counts, given by their keys on the wire, have these values."""
+    while (counts := wire_counts(await discovery.status())) | expected != counts:
         await asyncio.sleep(0)
 
 
@@ -102,8 +106,8 @@
         async with emulated_discovery() as (discovery, port):
             clients = [ListClient(port) for _ in range(20)]
             for client in clients:
-                assert (await client.knows(1)).complete
-            await until(discovery, waiting=20)
+                assert (await client.watch_until(1)).complete
+            await wait_for_counts(discovery, waiting=20)
             changes = [
                 await discovery.change("DRAINING", share=0.25, seed=3),
                 await discovery.change("DELETED", where="rack", seed=3),
@@ -112,10 +116,10 @@
             assert changes[0].changed_entries == 10
             assert changes[1].revision == 3
             for client in clients:
-                assert not (await client.knows(4)).complete
-                assert client.known == await listed(port)
+                assert not (await client.watch_until(4)).complete
+                assert client.known == await fetch_list(port)
             assert len(clients[0].known) == 40
-            counts = keys(await discovery.status())
+            counts = wire_counts(await discovery.status())
             assert counts["whole"] == 40
             assert counts["connections"] == 40
             assert counts["waiting_most"] == 20
@@ -128,21 +132,21 @@
 
 @pytest.mark.parametrize("kind", ["refused", "silent"])
 @pytest.mark.parametrize("history", ["kept", "gone", "renumbered"])
-def test_after_an_outage_all_changes_made_in_it_are_known(kind: Any, history: Any) -> None:
-    """Discovery fails while a client watches, and a zone is deleted meanwhile.
+def test_clients_receive_changes_that_were_made_during_an_outage(kind: Any, history: Any) -> None:
+    """Discovery fails while a client watches, and a zone is deleted during the outage.
 
-    Afterwards discovery has its history, or none, or none and counts revisions from 1 again. The client gets
-    the change in each case, as a delta or with the complete list.
+    Afterwards discovery has kept its history, or lost it, or lost it and counts revisions from 1 again. In
+    each case the client must receive the change, either in a delta or in the complete list.
     """
 
     async def run() -> None:
         async with emulated_discovery() as (discovery, port):
             client = ListClient(port)
-            await client.knows(1)
+            await client.watch_until(1)
             await discovery.change("DRAINING", count=3, seed=1)
             await discovery.change("DELETED", count=3, seed=2)
-            await client.knows(3)
-            await until(discovery, waiting=1)
+            await client.watch_until(3)
+            await wait_for_counts(discovery, waiting=1)
             await discovery.begin_outage(kind)
             await discovery.change("DELETED", where="zone", seed=3)
             if kind == "refused":
@@ -153,17 +157,17 @@
             ended = await discovery.end_outage(history)
             assert ended.revision == (1 if history == "renumbered" else 4)
             if kind == "silent":
-                assert await client.updates.get() is None  # reset
-            listing = await client.knows(ended.revision)
-            assert listing.complete == (history != "kept")
-            assert client.known == await listed(port)
+                assert await client.updates.get() is None  # The end of the outage resets the connection.
+            endpoint_list = await client.watch_until(ended.revision)
+            assert endpoint_list.complete == (history != "kept")
+            assert client.known == await fetch_list(port)
             assert (await discovery.status()).failed == 1
-            await client.knows((await discovery.change("DRAINING", count=1)).revision)
-            assert client.known == await listed(port)
-            await discovery.begin_outage("silent")  # a restart alone
+            await client.watch_until((await discovery.change("DRAINING", count=1)).revision)
+            assert client.known == await fetch_list(port)
+            await discovery.begin_outage("silent")  # A restart without a change.
             await discovery.end_outage("renumbered")
             assert await client.updates.get() is None
-            assert (await client.knows(1)).revision == 1
+            assert (await client.watch_until(1)).revision == 1
 
     asyncio.run(run())
 
@@ -171,10 +175,11 @@
 def test_a_watch_opened_in_a_silent_outage_is_reset_at_its_end(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Discovery fails silently: connections are accepted by the kernel alone, and nothing is answered.
+    """In a silent outage the kernel alone accepts connections, and no call is answered.
 
-    A client gives up its watch and opens another one in the outage. The end of the outage resets it, although
-    discovery has never seen it, and the client gets the change that it missed.
+    A client's watch times out, and the client opens another one during the outage. Discovery has never
+    accepted that connection, but the end of the outage must reset it, so that the client receives the change
+    that it missed.
     """
     monkeypatch.setattr(discovery_client, "LONG_POLL_GRACE_S", 0.05)
     monkeypatch.setattr(discovery_client, "CALL_TIMEOUT_S", 50.0)
@@ -182,29 +187,32 @@
     async def run() -> None:
         async with emulated_discovery() as (discovery, port):
             client = ListClient(port, wait_ms=20)
-            await client.knows(1)
+            await client.watch_until(1)
             await discovery.begin_outage("silent")
             connected = asyncio.Event()
             connection_made = DiscoveryConnection.connection_made
 
-            def made(call: DiscoveryConnection, transport: asyncio.BaseTransport) -> None:
-                connection_made(call, transport)
+            def report_connected(connection: DiscoveryConnection, transport: asyncio.BaseTransport) -> None:
+                connection_made(connection, transport)
                 connected.set()
 
-            monkeypatch.setattr(DiscoveryConnection, "connection_made", made)
+            monkeypatch.setattr(DiscoveryConnection, "connection_made", report_connected)
             await connected.wait()
             await discovery.change("DRAINING", where="region", seed=3)
             await discovery.end_outage()
             assert await client.updates.get() is None
-            await client.knows(2)
-            assert client.known == await listed(port)
+            await client.watch_until(2)
+            assert client.known == await fetch_list(port)
 
     asyncio.run(run())
     assert "fell silent" in caplog.text
 
 
-def test_malformed_calls_are_refused_and_all_is_counted() -> None:
-    """Clients send calls of each form, and others that have none. The latter get 400 or 404 and a close."""
+def test_invalid_calls_are_rejected_and_all_calls_are_counted() -> None:
+    """Clients send valid calls of each form and invalid ones.
+
+    An invalid call is answered with 400 or 404, and its connection is closed.
+    """
 
     async def run() -> None:
         async with emulated_discovery() as (discovery, port):
@@ -234,11 +242,11 @@
                 bodies.append(await reader.readexactly(length))
                 bytes_in, bytes_out = bytes_in + len(request), bytes_out + len(head) + length
                 if status != 200:
-                    assert await reader.read() == b""  # closed
+                    assert await reader.read() == b""  # Discovery has closed the connection.
                 writer.close()
             assert json.loads(bodies[0]) == json.loads(bodies[3])
             assert json.loads(bodies[1])["members"] == []
-            counts = keys(await discovery.status())
+            counts = wire_counts(await discovery.status())
             expected = {
                 "calls": 12,
                 "whole": 2,
@@ -256,37 +264,37 @@
     asyncio.run(run())
 
 
-def test_a_client_that_disconnects_waits_no_more() -> None:
-    """One client disconnects while its watch waits: it is abandoned. Another gets an empty delta."""
+def test_the_watch_of_a_client_that_disconnects_is_abandoned() -> None:
+    """One client disconnects while its watch waits. Another one waits to the end and gets an empty delta."""
 
     async def run() -> None:
         async with emulated_discovery() as (discovery, port):
             for wait_ms, disconnects in ((50, True), (100, False)):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(f"GET /catalog/members?index=1&wait={wait_ms} HTTP/1.1\r\n\r\n".encode())
-                await until(discovery, waiting=1)
+                await wait_for_counts(discovery, waiting=1)
                 if not disconnects:
                     assert b"200 OK" in await reader.readline()
                 writer.close()
-                await until(discovery, waiting=0)
-            await until(discovery, left=1, empty=1)
+                await wait_for_counts(discovery, waiting=0)
+            await wait_for_counts(discovery, left=1, empty=1)
 
     asyncio.run(run())
 
 
 def test_only_some_large_responses_are_written_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Five clients ask for a large list and do not read it. Two responses begin, and three are queued.
+    """Five clients ask for a large list and do not read it. Two responses are begun, and three are queued.
 
-    Meanwhile the list changes, twice, and one of the queued clients disconnects. Small responses pass the
-    queue, and a response that begins late has what is known by then.
+    Then the list changes twice, and one of the queued clients disconnects. Small responses must not wait in
+    the queue, and a response must have the list as it is when the response is begun.
     """
     monkeypatch.setattr(large_responses, "MAX_CONCURRENT_RESPONSES", 2)
 
     async def run() -> None:
         async with emulated_discovery(servers=20_000) as (discovery, port):
             client = ListClient(port)
-            await client.knows(1)
-            await until(discovery, waiting=1)
+            await client.watch_until(1)
+            await wait_for_counts(discovery, waiting=1)
             stalled = []
             for n in range(5):
                 sock = socket.socket()
@@ -295,12 +303,12 @@
                 await asyncio.get_running_loop().sock_connect(sock, ("127.0.0.1", port))
                 stalled.append(await asyncio.open_connection(sock=sock, limit=1024))
                 stalled[-1][1].write(b"GET /catalog/members HTTP/1.1\r\n\r\n")
-                await until(discovery, calls=n + 3)  # in this order
-            await until(discovery, queued=3)
+                await wait_for_counts(discovery, calls=n + 3)  # The calls must arrive in this order.
+            await wait_for_counts(discovery, queued=3)
             await discovery.change("DRAINING", count=1)
-            assert len((await client.knows(2)).entries) == 1
+            assert len((await client.watch_until(2)).entries) == 1
             stalled.pop()[1].close()
-            await until(discovery, queued=2)
+            await wait_for_counts(discovery, queued=2)
             revisions = []
             for reader, writer in stalled:
                 head = await reader.readuntil(b"\r\n\r\n")
@@ -308,10 +316,10 @@
                 revisions.append(json.loads(await reader.readexactly(length))["revision"])
                 writer.close()
                 if len(revisions) == 1:
-                    await until(discovery, queued=1)
+                    await wait_for_counts(discovery, queued=1)
                     await discovery.change("DRAINING", count=1)
             assert revisions == [1, 1, 2, 3]
-            counts = keys(await discovery.status())
+            counts = wire_counts(await discovery.status())
             assert counts["queue_most"] == 3
             assert counts["left"] == 1
             assert counts["queued"] == 0
@@ -324,12 +332,12 @@
         async with emulated_discovery() as (discovery, port):
             client = ListClient(port)
             await discovery.set_steady_changes(per_s=1000.0, seed=1)
-            known_revision = (await client.knows(7)).revision
+            known_revision = (await client.watch_until(7)).revision
             await discovery.set_steady_changes(per_s=0)
             revision = (await discovery.status()).revision
             if known_revision < revision:
-                await client.knows(revision)
-            assert client.known == await listed(port)
+                await client.watch_until(revision)
+            assert client.known == await fetch_list(port)
             changes = (await discovery.published_changes())["changes"]
             assert [change.revision for change in changes] == list(range(2, revision + 1))
             assert {change.entries for change in changes} == {1}
@@ -339,8 +347,8 @@
     asyncio.run(run())
 
 
-def test_its_process_ends_with_its_input() -> None:
-    """A command that comes too early or has a wrong argument is answered with an error, and others go on."""
+def test_the_process_answers_invalid_commands_with_errors_and_ends_with_its_input() -> None:
+    """A command that comes too early or has an invalid argument gets an error, and later commands work."""
 
     async def run() -> None:
         process = await asyncio.create_subprocess_exec(
--- a/tests/test_fleet_runner.py
+++ b/tests/test_fleet_runner.py
@@ -1,4 +1,4 @@
-"""The fleet tool as a person runs it: it counts right, reports a fault in one line, and leaves no process."""
+"""The fleet tool on its command line: its counts, its one-line errors, and the end of its processes."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
 
 
 def test_every_agent_has_the_last_change_and_no_request_is_lost(tmp_path: Path) -> None:
-    """Servers drain, a rack is lost, agents restart, and discovery fails and forgets its history.
+    """Servers drain, a rack is lost, agents restart, and discovery fails and loses its history.
 
-    Each agent then needs the complete list.
+    Because of the last event, each agent needs the complete list again.
     """
     ended = fleet("run", SMALL, "--quiet", "--out", tmp_path)
     assert ended.returncode == 0, ended.stderr
@@ -60,16 +60,19 @@
     [
         ("name = 'x'\nseconds = 'long'", "seconds: Expected `float`, got `str`"),
         ("name = 'x'\n[agents]\nreel = 2", "agents: Object contains unknown field `reel`"),
-        ("name = 'x'\n[agents]\nhollow = 0\nreal = 0", "agents: there are none"),
+        ("name = 'x'\n[agents]\nhollow = 0\nreal = 0", "agents: hollow and real are both 0"),
         ("name = 'x'\n[[events]]\nkind = 'quake'\nat_s = 1.0", "events[0].kind: Invalid value 'quake'"),
-        ("name = 'x'\n[[events]]\nkind = 'drip'\nat_s = 99.0", "events[0].at_s: 99.0 is behind the end"),
+        ("name = 'x'\n[[events]]\nkind = 'drip'\nat_s = 99.0", "events[0].at_s: 99.0 is after the end"),
         ("name = 'x'\n[[events]]\nkind = 'outage'\nat_s = 9.0\nfor_s = 4.0", "events[0].for_s"),
-        ("name = 'x'\n[[events]]\nkind = 'change'\nat_s = 1.0\ncount = 999", "events[0].count: 999 of 200"),
+        (
+            "name = 'x'\n[[events]]\nkind = 'change'\nat_s = 1.0\ncount = 999",
+            "events[0].count: 999 is more than the 200 servers",
+        ),
         ("name = ", "Invalid value"),
         ("", "missing required field `name`"),
     ],
 )
-def test_a_file_that_cannot_be_used_is_one_line_with_key_and_fault(
+def test_an_invalid_file_is_reported_in_one_line_with_key_and_fault(
     tmp_path: Path, text: str, message: str
 ) -> None:
     path = tmp_path / "bad.toml"
@@ -82,29 +85,30 @@
     assert str(path) in line
 
 
-def test_a_missing_file_and_a_bad_override_are_one_line(tmp_path: Path) -> None:
-    none = tmp_path / "none.toml"
-    for arguments in ([none], [SMALL, "--set", "agents.real=many"], [SMALL, "--set", "seed"]):
+def test_a_missing_file_and_a_bad_override_are_reported_in_one_line(tmp_path: Path) -> None:
+    missing = tmp_path / "none.toml"
+    for arguments in ([missing], [SMALL, "--set", "agents.real=many"], [SMALL, "--set", "seed"]):
         ended = fleet("run", *arguments)
         assert ended.returncode == 2, ended.stderr
         assert len(ended.stderr.splitlines()) == 1, ended.stderr
 
 
 def running_fleet(out: Path) -> subprocess.Popen[str]:
-    """A run whose first event has happened."""
+    """Start a run, and return its process as soon as its first event has happened."""
     command = [sys.executable, "-m", "nickelmount.fleet", "run", str(SMALL), "--out", str(out)]
     running = subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True)
     assert running.stderr is not None
     while "change@0.5" not in (line := running.stderr.readline()):
-        assert line, "it ended by itself"
+        assert line, "the run ended before its first event"
     return running
 
 
-def test_an_interrupt_ends_it_and_leaves_no_process_behind(tmp_path: Path) -> None:
-    """A person interrupts a run. It ends with one line, without results, and so do all its processes."""
+def test_an_interrupted_run_leaves_no_process_behind(tmp_path: Path) -> None:
+    """A person interrupts a run. The run prints one line and writes no results, and all its processes end."""
     with running_fleet(tmp_path) as running:
         children = psutil.Process(running.pid).children(recursive=True)
-        # Endpoints, discovery, two workers, the keeper of agents, an agent, load generator.
+        # These are the endpoints, discovery, two workers of hollow agents, the process that starts the real
+        # agents, one real agent, and the load generator.
         assert len(children) >= 7
         running.send_signal(signal.SIGINT)
         assert running.wait(20) == 130
@@ -116,7 +120,7 @@
 
 
 def test_a_runner_that_is_killed_leaves_no_process_behind(tmp_path: Path) -> None:
-    """The runner is killed and can end nothing. Its processes end, since their input does."""
+    """The runner is killed and cannot end its processes. They end because their input ends."""
     with running_fleet(tmp_path) as running:
         children = psutil.Process(running.pid).children(recursive=True)
         running.kill()
@@ -126,12 +130,12 @@
 
 @pytest.mark.parametrize(
     ("limit", "value", "message"),
-    [("MAX_MEMORY_SHARE", 1e-6, "memory: "), ("START_AND_END_TIMEOUT_S", -22.0, "not over within")],
+    [("MAX_MEMORY_SHARE", 1e-6, "memory: "), ("START_AND_END_TIMEOUT_S", -22.0, "did not end within")],
 )
-def test_a_run_that_exceeds_a_limit_is_given_up_and_leaves_no_process(
+def test_a_run_that_exceeds_a_limit_is_stopped_and_leaves_no_process(
     monkeypatch: pytest.MonkeyPatch, limit: str, value: float, message: str
 ) -> None:
-    """A run takes more memory, or more time, than it may."""
+    """A run uses more memory or more time than its limit allows."""
     monkeypatch.setattr(runner, limit, value)
     with pytest.raises(RunError, match=message):
         asyncio.run(ExperimentRun(read_experiment(SMALL), 1, lambda _: None).run())
--- a/tests/test_versioned_list.py
+++ b/tests/test_versioned_list.py
@@ -1,4 +1,4 @@
-"""What emulated discovery answers by index: a client then has the list, whatever the history holds."""
+"""The endpoint list of emulated discovery: its changes, and the responses by which clients follow them."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from hypothesis import strategies as st
 
 from nickelmount.fleet.versioned_list import (
+    ChangeScope,
     ListEntry,
     ServerLayout,
     VersionedList,
-    Where,
-    generate,
-    pick,
+    generate_entries,
+    pick_server_ids,
 )
 
 NOW_MS = 1_700_000_000_000
 
 
 def new_list(servers: int = 8, history: int = 100) -> VersionedList:
-    return VersionedList(generate(ServerLayout(servers, 1, 2, 2, 2, [9001, 9002, 9003])), history)
+    return VersionedList(generate_entries(ServerLayout(servers, 1, 2, 2, 2, [9001, 9002, 9003])), history)
 
 
 def ids(versioned_list: VersionedList) -> list[str]:
@@ -31,7 +31,7 @@
 
 
 def places(versioned_list: VersionedList) -> list[tuple[object, ...]]:
-    """What a server that replaces another one takes over from it."""
+    """Return, for each server, the properties that a server that replaces it must have too."""
     return sorted((e.address, e.zone, e.rack, e.machine_type, e.capacity) for e in versioned_list.entries())
 
 
@@ -39,7 +39,7 @@
     return json.loads(versioned_list.response_body(index))
 
 
-def test_changes_are_folded_to_the_last_state_of_each() -> None:
+def test_a_delta_has_the_latest_state_of_each_changed_server() -> None:
     versioned_list = new_list()
     a, b, other = ids(versioned_list)[:3]
     assert versioned_list.change([a, b], "DRAINING") == 2
@@ -55,15 +55,15 @@
     assert response(versioned_list, 4) == {"revision": 4, "complete": False, "members": []}
     assert b not in ids(versioned_list)
     assert other in ids(versioned_list)
-    assert versioned_list.change([], "DRAINING") == 4  # nothing is no change
+    assert versioned_list.change([], "DRAINING") == 4  # No entry changes, so no revision is made.
 
 
-def test_the_complete_list_where_the_history_does_not_reach() -> None:
+def test_the_response_is_the_complete_list_if_the_history_does_not_reach_back() -> None:
     versioned_list = new_list(history=2)
     deleted, *_, last = ids(versioned_list)
     for id_ in (deleted, last, ids(versioned_list)[1]):
         versioned_list.change([id_], "DELETED" if id_ == deleted else "DRAINING")
-    for index in (None, 1, 5, 10**17):  # none, out of reach, ahead
+    for index in (None, 1, 5, 10**17):  # No index, one before the history, and two ahead.
         body = response(versioned_list, index)
         assert body["complete"]
         assert body["revision"] == 4
@@ -79,7 +79,7 @@
     assert response(versioned_list, None)["revision"] == 1
 
 
-def test_the_same_body_until_the_next_change() -> None:
+def test_a_response_body_is_cached_until_the_next_change() -> None:
     versioned_list = new_list(history=1)
     body = versioned_list.response_body
     versioned_list.change(ids(versioned_list)[:1], "DRAINING")
@@ -110,34 +110,38 @@
         assert versioned_list.revision == 4
 
 
-def test_servers_are_spread_over_racks_and_picked_by_place() -> None:
+def test_servers_are_spread_evenly_over_racks_and_picked_by_place() -> None:
     layout = ServerLayout(120, 3, 2, 3, 4, [9001, 9002])
     other_seed = ServerLayout(120, 4, 2, 3, 4, [9001, 9002])
-    fleet = generate(layout)
-    assert fleet == generate(layout) != generate(other_seed)
+    fleet = generate_entries(layout)
+    assert fleet == generate_entries(layout) != generate_entries(other_seed)
     assert len({e.id for e in fleet}) == 120
     assert len({e.address for e in fleet}) == 2
     assert {e.zone for e in fleet} == {f"r{r}-z{z}" for r in range(2) for z in range(3)}
     assert len({e.rack for e in fleet}) == len({(e.zone, e.rack) for e in fleet}) == 24
     by_id = {e.id: e for e in fleet}
-    drawn_places: list[tuple[Where, int, slice]] = [("zone", 20, slice(None)), ("region", 60, slice(2))]
-    for where, size, region_part in drawn_places:
-        picked = pick(fleet, where, Random(1))
+    places_to_pick: list[tuple[ChangeScope, int, slice]] = [
+        ("zone", 20, slice(None)),
+        ("region", 60, slice(2)),
+    ]
+    for where, size, region_part in places_to_pick:
+        picked = pick_server_ids(fleet, where, Random(1))
         assert len(picked) == size
         assert len({by_id[i].zone[region_part] for i in picked}) == 1
-    rack = pick(fleet, "rack", Random(1))
+    rack = pick_server_ids(fleet, "rack", Random(1))
     assert len(rack) == 5
     assert len({by_id[i].rack for i in rack}) == 1
-    assert len(set(pick(fleet, "any", Random(1), share=0.3))) == 36
-    assert len(pick(fleet, "any", Random(1), count=500)) == 120
-    assert pick([], "rack", Random(1)) == []
-    with pytest.raises(ValueError, match="either a share or a count"):
-        pick(fleet, "any", Random(1))
+    assert len(set(pick_server_ids(fleet, "any", Random(1), share=0.3))) == 36
+    assert len(pick_server_ids(fleet, "any", Random(1), count=500)) == 120
+    assert pick_server_ids([], "rack", Random(1)) == []
+    with pytest.raises(ValueError, match="where 'any' needs either a share or a count"):
+        pick_server_ids(fleet, "any", Random(1))
 
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["drain", "delete", "back", "replace", "add", "forget", "ask"]), st.integers(0, 5)
+        st.sampled_from(["drain", "delete", "restore", "replace", "add", "forget", "fetch"]),
+        st.integers(0, 5),
     ),
     max_size=30,
 )
@@ -150,12 +154,12 @@
     versioned_list = new_list(servers, history)
     known: dict[str, Any] = {}
     index: int | None = None
-    for n, (step, count) in enumerate([*steps, ("ask", 0)]):
+    for n, (step, count) in enumerate([*steps, ("fetch", 0)]):
         random = Random(n)
         if step in ("drain", "delete"):
-            picked = pick(versioned_list.entries(), "any", random, count=count)
+            picked = pick_server_ids(versioned_list.entries(), "any", random, count=count)
             versioned_list.change(picked, "DRAINING" if step == "drain" else "DELETED")
-        elif step in ("back", "replace"):
+        elif step in ("restore", "replace"):
             versioned_list.restore(NOW_MS + n, random if step == "replace" else None)
         elif step == "add":
             versioned_list.add(
@@ -171,8 +175,8 @@
             index = body["revision"]
             if body["complete"]:
                 known = {}
-            named = [m["id"] for m in body["members"]]
-            assert len(named) == len(set(named))
+            received_ids = [m["id"] for m in body["members"]]
+            assert len(received_ids) == len(set(received_ids))
             known.update((m["id"], m) for m in body["members"])
             known = {id_: m for id_, m in known.items() if m["phase"] != "DELETED"}
     assert known == {m["id"]: m for m in response(versioned_list, None)["members"]}
