--- a/nickelmount/fleet/figures.py
+++ b/nickelmount/fleet/figures.py
@@ -1,4 +1,4 @@
-"""What a run measures, as figures with dotted names that end in their unit."""
+"""The figures that a run measures. Their names are dotted and end in the unit."""
 
 from __future__ import annotations
 
@@ -10,5 +10,5 @@
 
 
 def quantile(ordered: Sequence[float], share: float) -> float:
-    """Return the value below which this share of the ordered values lies; there must be at least one."""
+    """Return the value below which this share of the sorted values lies; there must be at least one value."""
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -1,9 +1,10 @@
 """A process of hollow agents: ``python -m nickelmount.fleet.hollow_agents``.
 
-A hollow agent has the list, the watch and the decision state of a real one, and no clients. Each is the
-agent's own Agent with a Balancer, a DiscoveryClient, an EndpointListParser and an Upstream of its own; only
-the side of the clients is never opened. With `shared` the agents of one process share the entries of equal
-lists, which no two real agents do: figures of memory and of the time to apply a list are then not an agent's.
+A hollow agent has the endpoint list, the watch and the decision state of a real agent, but no clients. It is
+an instance of the real Agent class with a Balancer, a DiscoveryClient, an EndpointListParser and an Upstream
+of its own; only the listener for clients is missing. With `shared`, the agents of one process share the
+entries of equal lists. Real agents never do that, so that the figures for memory and for the time to apply a
+list are then not those of a real agent.
 """
 
 from __future__ import annotations
@@ -28,27 +29,31 @@
 from .agent_messages import ListTimes, WorkerRestarted, WorkerStarted, WorkerStatus
 from .role import run, serve, usage
 
-STARTS_PER_ITERATION = 32  # of the event loop; then the agents started before get to run
+# Number of agents that are started in one iteration of the event loop. After that, the agents that have
+# already been started can run.
+STARTS_PER_ITERATION = 32
 
 
 class ReceivedList(NamedTuple):
-    """A list that an agent has applied."""
+    """The record of an endpoint list that an agent has applied."""
 
     revision: int
-    at_ns: int  # of the monotonic clock
+    at_ns: int  # Monotonic time in ns at which the list had been applied.
 
 
 class SharingListParser(EndpointListParser):
-    """Returns the same entries for equal lists. Only the latest complete list and delta are kept."""
+    """A list parser that returns the same entries for equal lists.
+
+    It keeps only the latest complete list and the latest delta.
+    """
 
     def __init__(self, parser: EndpointListParser) -> None:
         self._parser = parser
-        self._latest: dict[
-            bool, tuple[Any, EndpointList]
-        ] = {}  # document and list, by whether it is complete
+        # The latest document with its parsed list, by whether the list is complete.
+        self._latest: dict[bool, tuple[Any, EndpointList]] = {}
 
     def parse(self, doc: Any) -> EndpointList:
-        """Return the list of a decoded document; raises EndpointListError."""
+        """Parse a decoded document; raises EndpointListError if it is invalid."""
         is_complete = bool(doc.get("complete")) if isinstance(doc, dict) else False
         latest = self._latest.get(is_complete)
         if latest is None or latest[0] != doc:
@@ -57,93 +62,102 @@
 
 
 class RecordingDiscoveryClient(DiscoveryClient):
-    """Records when each list had been applied, by the balancer too."""
+    """A discovery client that records when the agent, including its balancer, has applied each list."""
 
-    def __init__(self, received: list[ReceivedList], *arguments: Any) -> None:
+    def __init__(self, received_lists: list[ReceivedList], *arguments: Any) -> None:
         super().__init__(*arguments)
-        self._received = received
+        self._received_lists = received_lists
         self._is_closed = False
         self.failed_calls = 0
 
     def watch(self, on_list: Callable[[EndpointList | None], None]) -> None:
-        """Watch as the base class does, and record what `on_list` has been called with."""
+        """Watch as the base class does, and record each list after `on_list` has applied it.
+
+        Failed calls are counted. Does nothing after `close`.
+        """
 
         def record(endpoint_list: EndpointList | None) -> None:
             on_list(endpoint_list)
             if endpoint_list is None:
                 self.failed_calls += 1
             else:
-                self._received.append(ReceivedList(endpoint_list.revision, time.monotonic_ns()))
+                self._received_lists.append(ReceivedList(endpoint_list.revision, time.monotonic_ns()))
 
-        if not self._is_closed:  # the timers of an agent that has ended still fire
+        if not self._is_closed:  # The timers of an agent that has ended still fire and may start a watch.
             super().watch(record)
 
     def close(self) -> None:
-        """Cancel the watch, and open no other."""
+        """Cancel the current watch, and do not open another one."""
         self._is_closed = True
         if self._watching is not None:
             self._watching.cancel()
 
 
 def _build_agent(
-    config: Config, clock: Clock, number: int, seed: int, received: list[ReceivedList]
+    config: Config, clock: Clock, number: int, seed: int, received_lists: list[ReceivedList]
 ) -> tuple[Agent, RecordingDiscoveryClient]:
-    """Build an agent from its parts, and the client of discovery that it uses."""
+    """Build an agent from its parts, and return it with the discovery client that it uses."""
     agent_config = replace(config, seed=seed, settings=replace(config.settings, instance_index=number))
-    discovery = build_discovery_client(agent_config, partial(RecordingDiscoveryClient, received))
+    discovery = build_discovery_client(agent_config, partial(RecordingDiscoveryClient, received_lists))
     agent = build_agent(agent_config, clock, MAX_ENDPOINT_CONNECTIONS, discovery_client=discovery)
     return agent, discovery
 
 
 class HollowAgent:
-    """One hollow agent. It ends and starts again as a process would, with the list it was configured with."""
+    """A hollow agent.
+
+    It can end and start again as a process does, each time with the list that it was configured with.
+    """
 
     def __init__(self, config: Config, clock: Clock, number: int) -> None:
         self._config, self._clock, self.number = config, clock, number
-        self._starts = 0
+        self._start_count = 0
         self._discovery: RecordingDiscoveryClient | None = None
-        self.received_lists: list[ReceivedList] = []  # over all its starts
+        self.received_lists: list[ReceivedList] = []  # Lists received since the first start.
 
     def start(self) -> None:
-        """Start it, with a seed of its own for each start."""
-        seed = self._config.seed + 7919 * self.number + self._starts
-        self._starts += 1
+        """Start the agent with a seed that differs for each agent and each start."""
+        seed = self._config.seed + 7919 * self.number + self._start_count
+        self._start_count += 1
         self.agent, self._discovery = _build_agent(
             self._config, self._clock, self.number, seed, self.received_lists
         )
         self.agent.start(self._config.known_list)
 
     def end(self) -> None:
-        """End it; its watch is cancelled."""
+        """End the agent and cancel its watch."""
         if self._discovery is not None:
             self._discovery.close()
             self._discovery = None
 
     @property
     def is_running(self) -> bool:
-        """Whether it has started and not ended since."""
+        """Whether the agent has been started and has not ended since."""
         return self._discovery is not None
 
     @property
     def failed_calls(self) -> int:
-        """The calls to discovery that failed since its latest start; 0 where it has ended."""
+        """The number of failed calls to discovery since the latest start; 0 if the agent has ended."""
         return 0 if self._discovery is None else self._discovery.failed_calls
 
     def received_at_ns(self, revision: int, since_ns: int) -> int:
-        """Return when it had this revision or a later one, `since_ns` at the earliest; 0: not yet."""
+        """Return the monotonic time in ns at which the agent first applied this revision or a later one.
+
+        Lists that were applied before `since_ns` are ignored. Returns 0 if there is no such list yet.
+        """
         return next(
-            (at_ns for held, at_ns in self.received_lists if held >= revision and at_ns >= since_ns), 0
+            (at_ns for applied, at_ns in self.received_lists if applied >= revision and at_ns >= since_ns), 0
         )
 
 
 class HollowAgentWorker:
-    """The role: the hollow agents of this process. Its public coroutines are the commands."""
+    """The hollow agents of this process. The public coroutines are the commands of the role."""
 
     def __init__(self) -> None:
         self._agents: list[HollowAgent] = []
 
     async def start(self, config: dict[str, Any], numbers: list[int], shared: bool) -> WorkerStarted:
-        """Start an agent with each number."""
+        """Start one agent for each number, and return the usage of the process before and after."""
         gc.collect()
         before = usage()
         clock = Clock()
@@ -151,7 +165,7 @@
         if shared:
             base = replace(base, list_parser=SharingListParser(base.list_parser))
         for position, number in enumerate(numbers):
-            # Unless they are shared, each agent has entries of its own for the list that it starts with.
+            # Without sharing, each agent parses the list that it starts with into entries of its own.
             known_list = base.known_list if shared else base.list_parser.parse(config["known"])
             agent = HollowAgent(replace(base, known_list=known_list), clock, number)
             self._agents.append(agent)
@@ -162,14 +176,14 @@
         return WorkerStarted(before, cpu_s=after.cpu_s, rss_mb=after.rss_mb)
 
     async def had(self, revision: int, since_ns: int) -> ListTimes:
-        """Return when each agent had this revision or a later one, in the order of their numbers."""
+        """Return when each agent first had this revision or a later one, in the order of their numbers."""
         return ListTimes([agent.received_at_ns(revision, since_ns) for agent in self._agents])
 
     async def restart(self, numbers: list[int]) -> WorkerRestarted:
-        """End these agents, then start them."""
-        chosen = set(numbers)
+        """End all agents with these numbers, then start them again."""
+        chosen_numbers = set(numbers)
         at_ns = time.monotonic_ns()
-        agents = [agent for agent in self._agents if agent.number in chosen]
+        agents = [agent for agent in self._agents if agent.number in chosen_numbers]
         for agent in agents:
             agent.end()
         for agent in agents:
@@ -178,7 +192,7 @@
         return WorkerRestarted(at_ns)
 
     async def status(self) -> WorkerStatus:
-        """Return the counts since the start, and the usage."""
+        """Return the counts since the start and the resource usage."""
         used = usage()
         return WorkerStatus(
             agents=sum(agent.is_running for agent in self._agents),
@@ -191,7 +205,7 @@
 
 async def main() -> None:
     """Run the role until its standard input ends."""
-    logging.basicConfig(level=logging.ERROR)  # warnings of failed calls are left out; the calls are counted
+    logging.basicConfig(level=logging.ERROR)  # Failed calls are counted instead of logged as warnings.
     worker = HollowAgentWorker()
     await serve(
         {"start": worker.start, "had": worker.had, "restart": worker.restart, "counts": worker.status}
--- a/nickelmount/fleet/load_connections.py
+++ b/nickelmount/fleet/load_connections.py
@@ -1,4 +1,4 @@
-"""The load generator's connections to one port, opened ahead and reused in turn."""
+"""The load generator's connections to one port, which are opened in advance and reused in rotation."""
 
 from __future__ import annotations
 
@@ -15,38 +15,39 @@
 
 log = logging.getLogger(__name__)
 
-# The agent does not reuse a connection to an endpoint for so long after each answer. Neither do direct
-# requests, nor requests to the agents, so that neither path finds its connections warmer than the other.
+# A connection is not reused for this time after each answer. The agent waits as long before it reuses a
+# connection to an endpoint. Direct requests and requests to agents therefore wait too, so that the time for
+# which a connection was idle is not shorter on one path than on the other.
 REUSE_DELAY_NS = 10_000_000
 OUTCOMES_BY_STATUS = {
     200: RequestOutcome.SERVED,
     429: RequestOutcome.REJECTED,
     503: RequestOutcome.REJECTED,
-}  # any other status is FAILED
+}  # Any other status counts as FAILED.
 
-# Called once for each request: the request, how it ended, and when, in ns of the monotonic clock.
+# Called once for each request with the request, its outcome, and the monotonic time in ns at which it ended.
 RequestEndHandler = Callable[["LoadRequest", RequestOutcome, int], None]
 
 
 class LoadRequest:
-    """One request, from the time at which it is due to its one end."""
+    """A request, from the time at which it is due until it ends. Each request ends exactly once."""
 
     __slots__ = ("due_ns", "written_ns", "message", "statistics", "timer", "connection")
 
     def __init__(self, due_ns: int, message: bytes, statistics: PathStatistics) -> None:
         self.due_ns, self.message, self.statistics = due_ns, message, statistics
-        self.written_ns = 0  # 0: not written
-        self.timer: asyncio.TimerHandle | None = None  # of its timeout; None: the request has ended
+        self.written_ns = 0  # Monotonic time in ns at which the request was written; 0 if it was not.
+        self.timer: asyncio.TimerHandle | None = None  # Timer of the timeout; None if the request has ended.
         self.connection: LoadConnection | None = None
 
     @property
-    def ended(self) -> bool:
-        """Whether it has its one end."""
+    def has_ended(self) -> bool:
+        """Whether the request has ended."""
         return self.timer is None
 
 
 class LoadConnection(asyncio.Protocol):
-    """A persistent connection; one request at a time."""
+    """A persistent connection that carries one request at a time."""
 
     def __init__(self, pool: LoadConnectionPool) -> None:
         self._pool = pool
@@ -57,7 +58,7 @@
         self.last_used_ns = 0
 
     def send(self, request: LoadRequest) -> None:
-        """Write the request; the time of the write is taken last, next to the write itself."""
+        """Write the request. The time of the write is taken immediately before the write itself."""
         assert self._transport is not None
         self.request, request.connection = request, self
         message, write = request.message, self._transport.write
@@ -65,11 +66,11 @@
         write(message)
 
     def is_usable(self) -> bool:
-        """Whether it is connected and not closing."""
+        """Return whether the connection is open and not closing."""
         return self._transport is not None and not self._transport.is_closing()
 
     def abort(self) -> None:
-        """Close at once, without an end for the request in flight."""
+        """Close the connection at once, without reporting an end of the request in flight."""
         self.request = None
         self._pool.remove(self)
         if self._transport is not None:
@@ -78,16 +79,16 @@
     # Callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the pool, unless that has closed meanwhile."""
+        """Add the connection to the pool, or close it if the pool has closed meanwhile."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        if self._pool.closed:
+        if self._pool.is_closed:
             transport.abort()
         else:
             self._pool.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of the answer in flight."""
+        """Parse bytes of the response; invalid or unexpected bytes close the connection."""
         self._received_ns = monotonic_ns()
         if self.request is None:
             return self._abort_unexpected()
@@ -102,9 +103,9 @@
                 self._pool.on_request_end(request, RequestOutcome.FAILED, self._received_ns)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the pool; a request in flight is lost."""
+        """Remove the connection from the pool, and count a request in flight as lost."""
         request, self.request = self.request, None
-        self._parser = None  # parser and connection refer to each other, and collections are off
+        self._parser = None  # Breaks the reference cycle with the parser, as garbage collection is disabled.
         self._pool.remove(self)
         if request is not None:
             self._pool.on_request_end(request, RequestOutcome.LOST, monotonic_ns())
@@ -112,7 +113,10 @@
     # Callback of the parser
 
     def on_message_complete(self) -> None:
-        """End the request in flight, and return the connection to the pool or close it."""
+        """End the request in flight, and return the connection to the pool or close it.
+
+        The connection is closed if it cannot be reused. Responses with a status below 200 are ignored.
+        """
         parser, request = self._parser, self.request
         assert parser is not None
         status = parser.get_status_code()
@@ -131,26 +135,26 @@
             self.abort()
 
     def _abort_unexpected(self) -> None:
-        log.warning("port %d: bytes without a request in flight", self._pool.port)
+        log.warning("port %d: received bytes without a request in flight", self._pool.port)
         self.abort()
 
 
 class LoadConnectionPool:
-    """The connections to one port of 127.0.0.1, used in turn."""
+    """A pool of connections to one port on 127.0.0.1, which are used in rotation."""
 
     def __init__(self, port: int, on_request_end: RequestEndHandler) -> None:
         self.port, self.on_request_end = port, on_request_end
-        self.ready: deque[LoadConnection] = deque()  # in order of their last use, the oldest first
-        self.closed = False
+        self.ready: deque[LoadConnection] = deque()  # Ordered by last use, oldest first.
+        self.is_closed = False
         self._connections: set[LoadConnection] = set()
         self._connecting: set[asyncio.Task[None]] = set()
 
-    async def open_ahead(self, number: int) -> None:
-        """Open so many connections that are ready for use; raises OSError."""
-        self.ready.extend(await asyncio.gather(*(self._connect() for _ in range(number))))
+    async def open_connections(self, count: int) -> None:
+        """Open `count` connections that are ready for use; raises OSError if one cannot be opened."""
+        self.ready.extend(await asyncio.gather(*(self._connect() for _ in range(count))))
 
     def send(self, request: LoadRequest) -> None:
-        """Send on the connection that is idle longest, or on a new one where none may be used again yet."""
+        """Send on the connection that has been idle longest, or on a new one if none may be reused yet."""
         reusable_since_ns = monotonic_ns() - REUSE_DELAY_NS
         while self.ready and self.ready[0].last_used_ns <= reusable_since_ns:
             connection = self.ready.popleft()
@@ -162,18 +166,18 @@
         task.add_done_callback(self._connecting.discard)
 
     def add(self, connection: LoadConnection) -> None:
-        """Take in a connection that has come up."""
+        """Add a new connection."""
         self._connections.add(connection)
 
     def remove(self, connection: LoadConnection) -> None:
-        """Drop a connection that has closed or is about to."""
+        """Remove a connection that has closed or is about to close."""
         self._connections.discard(connection)
         with contextlib.suppress(ValueError):
             self.ready.remove(connection)
 
     def close(self) -> None:
-        """Close all connections, those included that are still being opened."""
-        self.closed = True
+        """Close all connections, including those that are still being opened."""
+        self.is_closed = True
         self.ready.clear()
         for task in self._connecting:
             task.cancel()
@@ -188,11 +192,11 @@
     async def _send_on_new_connection(self, request: LoadRequest) -> None:
         try:
             connection = await self._connect()
-        except OSError:  # the request has reached nobody
-            if not request.ended:
+        except OSError:  # The request has not reached any process.
+            if not request.has_ended:
                 self.on_request_end(request, RequestOutcome.FAILED, monotonic_ns())
             return
-        if not request.ended:
+        if not request.has_ended:
             connection.send(request)
         elif connection.is_usable():
             self.ready.appendleft(connection)
--- a/nickelmount/fleet/load_generator.py
+++ b/nickelmount/fleet/load_generator.py
@@ -1,9 +1,9 @@
 """The load generator's process: ``python -m nickelmount.fleet.load_generator``.
 
-It sends the requests that are measured, through agents and directly to endpoints. Arrivals are open loop: a
-request is due at its time whatever became of the ones before it, and its latency counts from then. Both paths
-use the same code, interleaved, on connections opened ahead, so that they differ by the agent alone. What this
-process adds itself is measured too: how late it wrote each request.
+It sends the measured requests through agents and directly to endpoints. Arrivals are open loop: the time at
+which a request is due does not depend on earlier requests, and its latency is measured from that time. Both
+paths run interleaved, with the same code and with connections that are opened in advance, so that they differ
+only by the agent. The delay that this process itself adds is measured too: how late it wrote each request.
 """
 
 from __future__ import annotations
@@ -27,12 +27,18 @@
 from .request_tracker import RequestTracker
 from .role import EmptyAnswer, run, serve, typed_command, usage
 
-CONNECTION_BUSY_S = 0.03  # with one request: its answer and the delay until reuse, as an upper estimate
-POLL_AHEAD_NS = 400_000  # before a request is due the loop only polls: to wake up takes 0.2 to 0.3 ms
+# Upper estimate of the time for which one request occupies a connection: its latency and the delay until the
+# connection is reused.
+CONNECTION_BUSY_S = 0.03
+# The event loop polls without sleeping for this time before a request is due, because waking up from a sleep
+# takes 0.2 to 0.3 ms.
+POLL_AHEAD_NS = 400_000
 
 
 @dataclass(frozen=True, slots=True)
 class _StreamSettings:
+    """The path, the targets and the rate of one stream of requests."""
+
     path: RequestPath
     name: str
     ports: list[int]
@@ -40,7 +46,10 @@
 
 
 class RequestStream:
-    """The requests of one path at one rate, each sent when it is due, to the pools in turn."""
+    """A stream of requests on one path at one rate.
+
+    Each request is sent when it is due, with the connection pools in rotation.
+    """
 
     def __init__(
         self,
@@ -56,25 +65,28 @@
         self._timer: asyncio.Handle | None = None
 
     def start(self, at_ns: int) -> None:
-        """Send from now on; arrivals count from `at_ns` of the monotonic clock."""
+        """Start sending; arrival times are relative to the monotonic time `at_ns`."""
         self._started_ns = at_ns
         self._next_due_ns = at_ns + next(self._arrivals_ns)
         self._schedule()
 
     def stop(self) -> None:
-        """Send no more."""
+        """Stop sending."""
         if self._timer is not None:
             self._timer.cancel()
 
     def _schedule(self) -> None:
         wake_ns = self._next_due_ns - POLL_AHEAD_NS
-        if monotonic_ns() < wake_ns:  # the loop's clock is the same, in seconds
+        if monotonic_ns() < wake_ns:  # The loop uses the same clock, in seconds.
             self._timer = self._loop.call_at(wake_ns / 1e9, self._send_due)
         else:
             self._timer = self._loop.call_soon(self._send_due)
 
     def _send_due(self) -> None:
-        """Send all that is due: several requests after the loop was blocked, each with its own lateness."""
+        """Send all requests that are due.
+
+        There are several of them if the event loop was blocked; the lateness of each is recorded.
+        """
         while self._next_due_ns <= monotonic_ns():
             pool = self._pools[self._next_pool]
             self._next_pool = (self._next_pool + 1) % len(self._pools)
@@ -83,17 +95,18 @@
         self._schedule()
 
 
-def connections_ahead(rate_per_s: float) -> int:
-    """Return how many connections a port needs at this rate, so that hardly any request opens a new one.
+def initial_connection_count(rate_per_s: float) -> int:
+    """Return the number of connections that a port needs at this rate so that few requests open a new one.
 
-    The number that is busy is close to Poisson: its mean and six times its standard deviation.
+    The number of busy connections is approximately Poisson distributed. The result covers its mean plus six
+    standard deviations.
     """
     mean_busy = rate_per_s * CONNECTION_BUSY_S
     return math.ceil(mean_busy + 6 * math.sqrt(mean_busy)) + 2
 
 
 class LoadGenerator:
-    """The role: all streams of this process. Its public coroutines are the commands."""
+    """All streams of this process. The public coroutines are the commands of the role."""
 
     def __init__(self) -> None:
         self._tracker: RequestTracker | None = None
@@ -101,13 +114,13 @@
         self._streams: list[RequestStream] = []
 
     async def start(self, settings: LoadSettings) -> EmptyAnswer:
-        """Open the connections, then send; requests count in the phase "warm" until another is named.
+        """Open the connections, then start sending.
 
-        Raises ValueError where the settings make no sense or it has started before, and OSError where a port
-        cannot be connected to.
+        Requests are counted in the phase "warm" until another phase begins. Raises ValueError if a setting is
+        invalid or the load generator has already been started, and OSError if a connection cannot be opened.
         """
         if self._tracker is not None:
-            raise ValueError("started already")
+            raise ValueError("the load generator has already been started")
         streams = _streams(settings)
         arrivals_ns = [
             arrival_times_ns(s.rate_per_s, settings.arrivals, settings.seed, f"{s.path} {s.name}")
@@ -131,12 +144,12 @@
         return EmptyAnswer()
 
     async def phase(self, name: str) -> EmptyAnswer:
-        """Count requests due from now on in the phase of this name."""
+        """Count the requests that become due from now on in the phase with this name."""
         self._require_started().begin_phase(name)
         return EmptyAnswer()
 
     async def stop(self) -> EmptyAnswer:
-        """Send no more, and wait for the requests in flight, each of which ends by its timeout."""
+        """Stop sending, and wait for the requests in flight, each of which ends by its timeout."""
         tracker = self._require_started()
         for stream in self._streams:
             stream.stop()
@@ -148,7 +161,7 @@
     async def results(self) -> dict[str, Any]:
         """Return the statistics by phase and path; times in the histograms are in us.
 
-        Only after `stop`: encoding them blocks the loop.
+        May be called only after `stop`, because encoding the histograms blocks the event loop.
         """
         tracker = self._require_started()
         return {
@@ -170,12 +183,13 @@
         pools = [LoadConnectionPool(port, tracker.end) for port in stream.ports]
         self._pools += pools
         for pool in pools:
-            await pool.open_ahead(connections_ahead(stream.rate_per_s / len(pools)))
+            await pool.open_connections(initial_connection_count(stream.rate_per_s / len(pools)))
         return pools
 
     def _require_started(self) -> RequestTracker:
+        """Return the request tracker; raises ValueError if the load generator has not been started."""
         if self._tracker is None:
-            raise ValueError("not started")
+            raise ValueError("the load generator has not been started")
         return self._tracker
 
 
@@ -190,9 +204,10 @@
 
 
 def _disable_garbage_collection() -> None:
-    """Collect once and never again: a collection would delay all requests that are due meanwhile.
+    """Run the garbage collector once, then disable it.
 
-    What is allocated from now on has no reference cycles that matter.
+    A collection would delay all requests that become due during it. Objects allocated from now on have no
+    reference cycles that use a relevant amount of memory.
     """
     gc.collect()
     gc.freeze()
--- a/nickelmount/fleet/precise_loop.py
+++ b/nickelmount/fleet/precise_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose timers are finer than a millisecond."""
+"""An event loop whose timers have a resolution of less than a millisecond."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 class PreciseSelector(selectors.EpollSelector):
     """An epoll selector whose timeout is not rounded up to whole milliseconds.
 
-    epoll waits in whole milliseconds, so that requests would be 0.7 ms late in the mean. select waits in
-    microseconds; used on the descriptor of epoll alone, it costs one more system call an iteration.
+    epoll waits for whole milliseconds, which would make requests 0.7 ms late on average. select waits with a
+    resolution of microseconds. It is used only on the descriptor of epoll and costs one more system call per
+    iteration of the event loop.
     """
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait at most `timeout` seconds, or without a limit for None; returns what is ready."""
+        """Wait up to `timeout` seconds, or without a limit if it is None, and return the ready events."""
         if timeout is not None and timeout > 0:
             select.select((self.fileno(),), (), (), timeout)
             timeout = 0
@@ -23,8 +24,8 @@
 
 
 class PreciseEventLoopPolicy(asyncio.DefaultEventLoopPolicy):
-    """Creates event loops with a PreciseSelector."""
+    """An event loop policy that creates event loops with a PreciseSelector."""
 
     def new_event_loop(self) -> asyncio.AbstractEventLoop:
-        """Return a new loop with a PreciseSelector."""
+        """Return a new event loop with a PreciseSelector."""
         return asyncio.SelectorEventLoop(PreciseSelector())
--- a/nickelmount/fleet/request_figures.py
+++ b/nickelmount/fleet/request_figures.py
@@ -1,4 +1,4 @@
-"""The figures of the requests of a run, by phase and path, from what the load generator answers."""
+"""The figures of the requests of a run by phase and path, computed from the load generator's results."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from .figures import PERCENTILES, Figures
 from .request_statistics import HISTOGRAM_KEYS, OUTCOME_KEYS, PATHS, WARM_UP_PHASE, new_histogram
 
-ALL_PHASES = "all"  # the name under which the figures of all phases together stand
+ALL_PHASES = "all"  # Stands for the name of a phase in figures of all phases together.
 
 
 def request_figures(results: dict[str, Any]) -> Figures:
-    """Return the figures of `results`, the answer to the command `results` of the load generator.
+    """Return the figures of `results`, which is the load generator's answer to its command `results`.
 
-    The time that agents add is the difference of the two paths at the same percentile, in the same run. It
-    counts from when a request was written: what the load generator adds by its lateness is on both paths, and
-    not the agent's.
+    The time that agents add is the difference between the two paths at the same percentile in the same run.
+    It is measured from when a request was written, because the lateness of the load generator occurs on both
+    paths and is not added by the agent.
     """
     phases = {name: paths for name, paths in results["phases"].items() if name != WARM_UP_PHASE}
     return _count_figures(phases) | _all_latency_figures(phases)
@@ -36,15 +36,15 @@
 
 def _all_latency_figures(phases: dict[str, Any]) -> Figures:
     figures: Figures = {}
-    of_all_phases: dict[str, HdrHistogram] = {}
+    all_phases: dict[str, HdrHistogram] = {}
     for name, paths in phases.items():
         histograms = {
             f"{path}.{key}": HdrHistogram.decode(paths[path][key]) for path in PATHS for key in HISTOGRAM_KEYS
         }
         for key, histogram in histograms.items():
-            of_all_phases.setdefault(key, new_histogram()).add(histogram)
+            all_phases.setdefault(key, new_histogram()).add(histogram)
         figures |= _latency_figures(name, histograms)
-    return figures | _latency_figures(ALL_PHASES, of_all_phases)
+    return figures | _latency_figures(ALL_PHASES, all_phases)
 
 
 def _latency_figures(phase: str, histograms: dict[str, HdrHistogram]) -> Figures:
--- a/nickelmount/fleet/request_statistics.py
+++ b/nickelmount/fleet/request_statistics.py
@@ -1,4 +1,4 @@
-"""What became of the requests of one path that were due in one phase: histograms and counts."""
+"""Histograms and counts of the requests that became due on one path in one phase."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from hdrh.histogram import HdrHistogram
 
-MAX_LATENCY_US = 60_000_000  # longer ones count as this
-SIGNIFICANT_DIGITS = 3  # of the histograms
+MAX_LATENCY_US = 60_000_000  # Longer latencies are recorded as this value.
+SIGNIFICANT_DIGITS = 3  # Precision of the histograms.
 
-WARM_UP_PHASE = "warm"  # the phase until another is named; its requests count in no figure
+WARM_UP_PHASE = "warm"  # The phase until another one begins; its requests are left out of all figures.
 
-RequestPath = Literal["through", "direct"]  # through an agent, or directly to an endpoint
+RequestPath = Literal["through", "direct"]  # Requests go through an agent, or directly to an endpoint.
 PATHS: tuple[RequestPath, ...] = ("through", "direct")
 
 
 class RequestOutcome(Enum):
-    """How a request ended; the value is the key of its count in the results."""
+    """The outcome of a request; the value is the key of its count in the results."""
 
     SERVED = "served"
     REJECTED = "refused"
-    FAILED = "failed"  # any other answer, bytes that are no answer, or no connection
-    LOST = "lost"  # no answer in time, or the connection broke
+    FAILED = "failed"  # Any other status, bytes that are not an HTTP response, or no connection.
+    LOST = "lost"  # No answer before the timeout, or the connection closed before the answer.
 
 
 OUTCOME_KEYS = tuple(outcome.value for outcome in RequestOutcome)
@@ -30,27 +30,29 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram, in us."""
+    """Return an empty histogram of times in us."""
     return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 class PathStatistics:
     """The statistics of one path in one phase.
 
-    Every request that has ended is in `latency_from_due`, a lost one with the time for which it was waited.
-    A request that was never written, since no connection came up, is in neither of the other histograms.
+    Every request that has ended is in `latency_from_due`; a lost one is recorded with the time until it was
+    counted as lost. A request that was never written, because no connection could be opened for it, is in
+    neither of the other histograms.
     """
 
     def __init__(self) -> None:
         self.latency_from_due = new_histogram()
         self.latency_from_written = new_histogram()
-        self.lateness = new_histogram()  # of the write, after the request was due
+        self.lateness = new_histogram()  # Time from when a request was due until it was written.
         self.outcomes = dict.fromkeys(RequestOutcome, 0)
         self.started = 0
-        self.without_ready_connection = 0  # their latency contains a connection's handshake
+        # Number of requests that had to open a new connection; their latency includes its handshake.
+        self.without_ready_connection = 0
 
     def record_end(self, outcome: RequestOutcome, due_ns: int, written_ns: int, ended_ns: int) -> None:
-        """Count one request that has ended; `written_ns` is 0 for one that was never written."""
+        """Count a request that has ended; `written_ns` is 0 if it was never written."""
         self.outcomes[outcome] += 1
         _record(self.latency_from_due, ended_ns - due_ns)
         if written_ns:
@@ -58,7 +60,7 @@
             _record(self.lateness, written_ns - due_ns)
 
     def result(self) -> dict[str, Any]:
-        """Return the statistics under the keys of the results, with histograms encoded as text."""
+        """Return the statistics under their keys in the results, with the histograms encoded as text."""
         histograms = (self.latency_from_due, self.latency_from_written, self.lateness)
         return {
             **{
--- a/nickelmount/fleet/request_tracker.py
+++ b/nickelmount/fleet/request_tracker.py
@@ -1,4 +1,4 @@
-"""The requests of all streams: their form, the phase in which they count, and their one end each."""
+"""The requests of all streams: their encoding, the phase in which they are counted, and their end."""
 
 from __future__ import annotations
 
@@ -12,16 +12,22 @@
 from .load_connections import LoadConnectionPool, LoadRequest
 from .request_statistics import PATHS, PathStatistics, RequestOutcome, RequestPath
 
-ANSWER_GRACE_S = 0.5  # after its own timeout a request without an answer is lost
-_ID_PLACEHOLDER = b"\0id\0"  # stands for the Request-Id in the encoded request
+ANSWER_GRACE_S = 0.5  # A request without an answer is lost this long after its own timeout.
+_ID_PLACEHOLDER = b"\0id\0"  # Marks the place of the Request-Id in the encoded request.
 
 
 class RequestEncoder:
-    """Encodes requests that differ only in their Request-Id, which is unique over runs."""
+    """An encoder of requests that differ only in their Request-Id, which is unique across runs.
+
+    Raises ValueError if `timeout_ms` is below 1, if `body_bytes` is below 0, or if a GET has a body.
+    """
 
     def __init__(self, request_class: str, method: str, timeout_ms: int, body_bytes: int, seed: int) -> None:
         if timeout_ms < 1 or body_bytes < 0 or (method == "GET" and body_bytes):
-            raise ValueError("timeout_ms from 1 and body_bytes from 0 are wanted, and none with GET")
+            raise ValueError(
+                f"timeout_ms is {timeout_ms} and body_bytes is {body_bytes} for method {method}: timeout_ms "
+                "must be at least 1, and body_bytes must be at least 0, or exactly 0 for GET"
+            )
         encoded = encode_request(
             method.encode(),
             b"/api",
@@ -42,9 +48,9 @@
 
 
 class RequestTracker:
-    """Starts requests, and counts the one end of each in the phase and path in which it was due.
+    """Starts requests, and counts the end of each one in the phase and the path in which it became due.
 
-    Raises ValueError where `timeout_ms` is below 1, or `body_bytes` below 0 or not 0 for a GET.
+    Raises ValueError if `timeout_ms` is below 1, if `body_bytes` is below 0, or if a GET has a body.
     """
 
     def __init__(self, request_class: str, method: str, timeout_ms: int, body_bytes: int, seed: int) -> None:
@@ -52,12 +58,15 @@
         self._timeout_s = timeout_ms / 1000 + ANSWER_GRACE_S
         self._loop = asyncio.get_running_loop()
         self.phases: dict[str, dict[RequestPath, PathStatistics]] = {}
-        self.current: dict[RequestPath, PathStatistics] = {}  # of the phase that runs
+        self.current: dict[RequestPath, PathStatistics] = {}  # Statistics of the current phase.
         self.in_flight = 0
         self.all_ended = asyncio.Event()
 
     def begin_phase(self, name: str) -> None:
-        """Count requests due from now on in this phase; a name used before continues its counts."""
+        """Count the requests that become due from now on in this phase.
+
+        If a phase with this name has been used before, its counts are continued.
+        """
         if name not in self.phases:
             self.phases[name] = {path: PathStatistics() for path in PATHS}
         self.current = self.phases[name]
@@ -73,7 +82,7 @@
         pool.send(request)
 
     def end(self, request: LoadRequest, outcome: RequestOutcome, ended_ns: int) -> None:
-        """Count the one end of a request; the caller has dealt with its connection."""
+        """Count the end of a request. The caller returns its connection to the pool or closes it."""
         assert request.timer is not None
         request.timer.cancel()
         request.timer = request.connection = None
@@ -83,7 +92,7 @@
             self.all_ended.set()
 
     def _time_out(self, request: LoadRequest) -> None:
-        # The answer may still arrive, and would be taken for that of the connection's next request.
+        # The connection is closed, because a late answer would be taken for that of its next request.
         if request.connection is not None:
             request.connection.abort()
         self.end(request, RequestOutcome.LOST, monotonic_ns())
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -1,4 +1,4 @@
-"""The load generator and the emulated endpoints: what they count has to be right before any figure is."""
+"""The counts of the load generator and of the emulated endpoints, which all figures depend on."""
 
 from __future__ import annotations
 
@@ -31,22 +31,24 @@
 HISTOGRAM_KEYS = ("from_due", "from_written", "lateness")
 
 
-def within(body: Callable[[], Awaitable[None]]) -> None:
-    """Run a test; one that hangs fails."""
+def run_with_timeout(body: Callable[[], Awaitable[None]]) -> None:
+    """Run the body of a test, and fail the test if it hangs."""
 
-    async def bounded() -> None:
-        async with asyncio.timeout(30):  # nothing is timed by this
+    async def run() -> None:
+        async with asyncio.timeout(30):  # Only fails a test that hangs; no test measures this time.
             await body()
-            await asyncio.sleep(0)  # what was closed is closed in the next turn
+            await asyncio.sleep(
+                0
+            )  # Connections that were closed report it in the next iteration of the loop.
 
-    asyncio.run(bounded())
+    asyncio.run(run())
 
 
 @contextlib.asynccontextmanager
 async def emulated_endpoints(
     number: int = 1, work_ms: float = 0.0
 ) -> AsyncIterator[tuple[EmulatedEndpoints, list[int]]]:
-    """Endpoints that listen, and their ports."""
+    """Start emulated endpoints, yield them and their ports, and close them at the end."""
     endpoints = EmulatedEndpoints()
     try:
         yield endpoints, (await endpoints.start(number, work_ms=work_ms)).ports
@@ -56,7 +58,7 @@
 
 @contextlib.contextmanager
 def new_pool(port: int, tracker: RequestTracker) -> Iterator[LoadConnectionPool]:
-    """A pool of connections that is closed at the end."""
+    """Yield a new pool of connections, and close it at the end."""
     pool = LoadConnectionPool(port, tracker.end)
     try:
         yield pool
@@ -74,12 +76,12 @@
     return tracker.phases[phase][path].result()
 
 
-def decoded(figures: dict[str, Any]) -> dict[str, Any]:
+def decode_histograms(figures: dict[str, Any]) -> dict[str, Any]:
     return {name: HdrHistogram.decode(figures[name]) for name in HISTOGRAM_KEYS}
 
 
-def test_every_request_is_answered_once_and_counts_in_its_phase_and_path() -> None:
-    """A phase ends while its requests are in flight. They count in the phase in which they were due."""
+def test_every_request_is_answered_once_and_counted_in_its_phase_and_path() -> None:
+    """A phase ends while its requests are in flight. They are counted in the phase in which they were due."""
 
     async def body() -> None:
         tracker = new_tracker()
@@ -105,18 +107,18 @@
                     figures = result(tracker, path, phase)
                     assert figures["calls"] == figures["served"] == number
                     assert figures["refused"] == figures["failed"] == figures["lost"] == 0
-                    assert [h.get_total_count() for h in decoded(figures).values()] == [number] * 3
+                    assert [h.get_total_count() for h in decode_histograms(figures).values()] == [number] * 3
                 status = await endpoints.status()
                 assert status.requests == 55
                 assert status.repeated_ids == 0
 
-    within(body)
+    run_with_timeout(body)
 
 
 def test_a_request_without_an_answer_is_lost_after_its_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An endpoint accepts a request and never answers. The request is lost, and its connection closed.
+    """An endpoint accepts a request and never answers. The request is lost, and its connection is closed.
 
-    The answer might still arrive, and would be taken for that of the connection's next request.
+    Otherwise a late answer would be taken for the answer to the next request on the connection.
     """
 
     async def body() -> None:
@@ -127,16 +129,16 @@
         await tracker.all_ended.wait()
         figures = result(tracker)
         assert figures["lost"] == figures["calls"] == 1
-        assert decoded(figures)["from_due"].get_max_value() >= 50_000
+        assert decode_histograms(figures)["from_due"].get_max_value() >= 50_000
         assert not pool.ready
         await (await peer.requests.get()).peer.ended()
         await peer.stop()
 
-    within(body)
+    run_with_timeout(body)
 
 
-async def result_of_one(respond: Callable[[Message], Awaitable[None]]) -> dict[str, Any]:
-    """The result of one request that is responded to like this."""
+async def result_of_one_request(respond: Callable[[Message], Awaitable[None]]) -> dict[str, Any]:
+    """Send one request, answer it with `respond`, and return the statistics."""
     peer, tracker = await Peer().start(), new_tracker(method="POST", body_bytes=7)
     pool = LoadConnectionPool(peer.port, tracker.end)
     tracker.start(pool, "direct", time.monotonic_ns())
@@ -150,37 +152,37 @@
     return result(tracker)
 
 
-def test_rejected_failed_and_lost_requests_are_counted_apart() -> None:
-    """An endpoint rejects, fails, sends what is no HTTP, closes without an answer, or does not listen."""
+def test_rejected_failed_and_lost_requests_are_counted_separately() -> None:
+    """An endpoint rejects a request, fails, sends invalid HTTP, closes early, or does not listen."""
 
     async def close(message: Message) -> None:
         message.peer.close()
 
     async def body() -> None:
         for status, kind in ((200, "served"), (429, "refused"), (503, "refused"), (500, "failed")):
-            assert (await result_of_one(partial(Message.answer, status=status)))[kind] == 1
-        assert (await result_of_one(lambda m: m.peer.write(b"what?\r\n\r\n")))["failed"] == 1
-        assert (await result_of_one(close))["lost"] == 1
+            assert (await result_of_one_request(partial(Message.answer, status=status)))[kind] == 1
+        assert (await result_of_one_request(lambda m: m.peer.write(b"what?\r\n\r\n")))["failed"] == 1
+        assert (await result_of_one_request(close))["lost"] == 1
         peer, tracker = await Peer().start(), new_tracker()
         await peer.stop()
-        pool = LoadConnectionPool(peer.port, tracker.end)  # nobody listens
+        pool = LoadConnectionPool(peer.port, tracker.end)  # The port is closed.
         tracker.start(pool, "direct", time.monotonic_ns())
         await tracker.all_ended.wait()
         figures = result(tracker)
         assert figures["failed"] == 1
-        assert [h.get_total_count() for h in decoded(figures).values()] == [1, 0, 0]
+        assert [h.get_total_count() for h in decode_histograms(figures).values()] == [1, 0, 0]
 
-    within(body)
+    run_with_timeout(body)
 
 
 def test_no_connection_is_reused_before_its_delay() -> None:
-    """A request finds a connection that was used just now. It gets a new one, as it would in the agent."""
+    """The only idle connection has just been used. A request opens a new one, as it would in the agent."""
 
     async def body() -> None:
         tracker = new_tracker()
         async with emulated_endpoints() as (endpoints, ports):
             with new_pool(ports[0], tracker) as pool:
-                await pool.open_ahead(1)
+                await pool.open_connections(1)
                 for last_used_ns, connections in ((0, 1), (0, 1), (time.monotonic_ns() + 10**12, 2)):
                     pool.ready[0].last_used_ns = last_used_ns
                     tracker.start(pool, "direct", time.monotonic_ns())
@@ -188,7 +190,7 @@
                     assert (await endpoints.status()).connections == connections
                 assert result(tracker)["waited"] == 1
 
-    within(body)
+    run_with_timeout(body)
 
 
 @pytest.mark.parametrize("arrivals", ["poisson", "even"])
@@ -208,17 +210,17 @@
 
 
 def test_requests_due_while_the_loop_is_blocked_count_their_lateness() -> None:
-    """The load generator's loop is blocked for 51 ms, in which six requests fall due, 10 ms apart.
+    """The event loop of the load generator is blocked for 51 ms while six requests become due, 10 ms apart.
 
-    They are sent together afterwards. Measured from when they were written, nothing of that is seen; measured
-    from when they were due, all of it is.
+    They are sent together afterwards. Latencies measured from when the requests were written must not show
+    this delay; latencies measured from when the requests were due must contain all of it.
     """
 
     async def body() -> None:
         tracker = new_tracker()
         async with emulated_endpoints() as (_, ports):
             with new_pool(ports[0], tracker) as pool:
-                await pool.open_ahead(6)
+                await pool.open_connections(6)
                 due_ns = chain([n * 10 * MS_NS for n in range(6)], repeat(10**15))
                 stream = RequestStream(tracker, "direct", [pool], due_ns)
                 stream.start(time.monotonic_ns())
@@ -228,18 +230,21 @@
                 await tracker.all_ended.wait()
                 stream.stop()
         figures = result(tracker)
-        from_due, from_written, lateness = decoded(figures).values()
+        from_due, from_written, lateness = decode_histograms(figures).values()
         assert figures["served"] == 6
         assert figures["waited"] == 0
         assert lateness.get_max_value() >= 50_000
         assert lateness.get_mean_value() >= 25_900
         assert from_due.get_mean_value() - from_written.get_mean_value() >= 25_900
 
-    within(body)
+    run_with_timeout(body)
 
 
 def test_an_endpoint_answers_probes_and_reports_its_load() -> None:
-    """Two requests are in flight, with the same Request-Id. One client disconnects: it counts no more."""
+    """Two requests with the same Request-Id are in flight, and the client of one of them disconnects.
+
+    The endpoint no longer reports the request of that client as in flight.
+    """
 
     async def body() -> None:
         async with emulated_endpoints(work_ms=20_000.0) as (endpoints, ports):
@@ -269,11 +274,11 @@
             for client in clients:
                 client.close()
 
-    within(body)
+    run_with_timeout(body)
 
 
 class RoleProcess:
-    """The process of a role."""
+    """A process of the fleet that takes commands on its standard input."""
 
     async def start(self, module: str) -> RoleProcess:
         self.process = await asyncio.create_subprocess_exec(
@@ -296,11 +301,11 @@
         return answer["ok"]
 
     async def end(self) -> None:
-        _, errors = await self.process.communicate(b"")  # closes its input
+        _, errors = await self.process.communicate(b"")  # Also closes the input of the process.
         assert (self.process.returncode, errors) == (0, b"")
 
 
-def test_both_roles_as_processes_agree_on_the_requests() -> None:
+def test_the_processes_of_load_generator_and_endpoints_agree_on_the_requests() -> None:
     async def body() -> None:
         endpoints = await RoleProcess().start("nickelmount.fleet.emulated_endpoints")
         load_generator = await RoleProcess().start("nickelmount.fleet.load_generator")
@@ -334,7 +339,7 @@
         await load_generator.end()
         await endpoints.end()
 
-    within(body)
+    run_with_timeout(body)
 
 
 def load_settings(arrivals: str, agents: list[AgentTarget], body_bytes: int = 0) -> LoadSettings:
@@ -352,14 +357,14 @@
     )
 
 
-def test_a_load_generator_says_what_it_cannot_do() -> None:
+def test_a_load_generator_rejects_commands_and_settings_that_it_cannot_use() -> None:
     async def body() -> None:
         generator = LoadGenerator()
-        with pytest.raises(ValueError, match="not started"):
+        with pytest.raises(ValueError, match="has not been started"):
             await generator.stop()
-        with pytest.raises(ValueError, match="arrivals"):
+        with pytest.raises(ValueError, match="arrivals is 'bursts'"):
             await generator.start(load_settings("bursts", [AgentTarget("n1", 9)]))
         with pytest.raises(ValueError, match="body_bytes"):
             await generator.start(load_settings("even", [], body_bytes=5))
 
-    within(body)
+    run_with_timeout(body)
