--- a/nickelmount/fleet/__init__.py
+++ b/nickelmount/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A small fleet on loopback to measure the agent on: a tool, which the agent never imports."""
+"""A tool that measures agents in a small emulated fleet on loopback. The agent never imports it."""
--- a/nickelmount/fleet/__main__.py
+++ b/nickelmount/fleet/__main__.py
@@ -1,4 +1,7 @@
-"""``python -m nickelmount.fleet``: runs experiments on a small fleet on loopback."""
+"""The command line of the fleet tool, ``python -m nickelmount.fleet``.
+
+It runs experiments with a small fleet of agents on loopback.
+"""
 
 from __future__ import annotations
 
@@ -19,9 +22,9 @@
 from .runner import ExperimentRun
 from .tables import experiment_table, scaling_table
 
-EXIT_FAILED = 1  # a run was given up
-EXIT_USAGE = 2  # an experiment or an option cannot be used
-EXIT_INTERRUPTED = 130  # as a shell has it after SIGINT
+EXIT_FAILED = 1  # A run failed.
+EXIT_USAGE = 2  # An experiment file or an option is invalid.
+EXIT_INTERRUPTED = 130  # The status that a shell reports after SIGINT.
 MAX_SERVERS = 20_000
 
 OVERRIDES = click.option(
@@ -29,7 +32,7 @@
     "overrides",
     multiple=True,
     metavar="KEY=VALUE",
-    help="Another value for a key of the file, such as agents.hollow=20.",
+    help="Override the value of a key in the file, for example agents.hollow=20.",
 )
 OUT = click.option(
     "--out",
@@ -37,20 +40,20 @@
     type=click.Path(path_type=Path),
     default=Path("runs"),
     show_default=True,
-    help="Where the file of results goes.",
+    help="Folder in which the results file is written.",
 )
 
 
 @click.group()
 def main() -> None:
-    """Run experiments on a small fleet of agents on loopback."""
+    """Run experiments with a small fleet of agents on loopback."""
 
 
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @OVERRIDES
 def check(file: Path, overrides: tuple[str, ...]) -> None:
-    """Say whether an experiment file can be used."""
+    """Check whether an experiment file is valid."""
     experiment = _read_or_exit(file, overrides)
     agents = experiment.agents
     click.echo(
@@ -63,9 +66,9 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @OVERRIDES
 @OUT
-@click.option("--quiet", is_flag=True, help="No progress.")
+@click.option("--quiet", is_flag=True, help="Print no progress.")
 def run(file: Path, overrides: tuple[str, ...], folder: Path, quiet: bool) -> None:
-    """Play an experiment; write its results and print a short table."""
+    """Run an experiment, write its results to a file and print a short table."""
     experiment = _read_or_exit(file, overrides)
     started_s = time.monotonic()
 
@@ -76,9 +79,9 @@
     def run_all() -> None:
         runs = []
         for number in range(experiment.runs):
-            report_progress(f"{experiment.name}: play {number + 1} of {experiment.runs}")
-            one_run = ExperimentRun(experiment, experiment.seed + number, report_progress)
-            runs.append(asyncio.run(one_run.run()))
+            report_progress(f"{experiment.name}: run {number + 1} of {experiment.runs}")
+            experiment_run = ExperimentRun(experiment, experiment.seed + number, report_progress)
+            runs.append(asyncio.run(experiment_run.run()))
         results = experiment_results(experiment, runs)
         path = write_results(results, folder)
         click.echo(experiment_table(results))
@@ -88,12 +91,12 @@
 
 
 @main.command()
-@click.option("--sizes", default="20,200,1000,2000,6300", show_default=True, help="Servers listed.")
+@click.option("--sizes", default="20,200,1000,2000,6300", show_default=True, help="Numbers of servers.")
 @click.option("--plays", "runs", default=3, show_default=True, type=click.IntRange(1, 20))
 @click.option("--seed", default=1, show_default=True)
 @OUT
 def slopes(sizes: str, runs: int, seed: int, folder: Path) -> None:
-    """What lists, changes and decisions cost one agent, by the number of servers listed."""
+    """Measure the cost of lists, changes and decisions in one agent by the number of listed servers."""
     try:
         counts = _parse_sizes(sizes)
     except ValueError as error:
@@ -112,12 +115,12 @@
 def _parse_sizes(sizes: str) -> list[int]:
     counts = [int(size) for size in sizes.split(",")]
     if min(counts) < 1 or max(counts) > MAX_SERVERS:
-        raise ValueError(f"from 1 to {MAX_SERVERS} servers")
+        raise ValueError(f"{sizes!r} has a number of servers that is not between 1 and {MAX_SERVERS}")
     return counts
 
 
 async def _measure_sizes(counts: list[int], seed: int) -> Figures:
-    """Measure each size in a process of its own, so that its memory is that of one agent."""
+    """Measure each size in a separate process, so that the memory of the process is that of one agent."""
     figures: Figures = {}
     for servers in counts:
         process = await RoleProcess.start("slopes")
@@ -129,10 +132,10 @@
     return figures
 
 
-def _run_or_exit(work: Callable[[], None]) -> None:
-    """Do the work; a failure ends the program with one line."""
+def _run_or_exit(function: Callable[[], None]) -> None:
+    """Call the function; if it fails, end the program with a one-line message."""
     try:
-        work()
+        function()
     except KeyboardInterrupt:
         _exit("interrupted", EXIT_INTERRUPTED)
     except (RunError, RoleError, OSError, MemoryError) as error:
@@ -147,6 +150,7 @@
 
 
 def _exit(reason: str, status: int) -> NoReturn:
+    """Print the reason in one line on standard error, and end the program with the exit status."""
     click.echo(f"fleet: {reason}", err=True)
     sys.exit(status)
 
--- a/nickelmount/fleet/agent_config.py
+++ b/nickelmount/fleet/agent_config.py
@@ -1,4 +1,4 @@
-"""The configuration of each agent of the fleet, in the form of the file that RELAY_CONFIG names."""
+"""The configuration of each agent of the fleet, in the format of the file that RELAY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -6,16 +6,19 @@
 
 from .experiment import Experiment
 
-REQUEST_CLASS, METHOD = "read", "GET"  # of all requests
-MAX_ENDPOINT_CONNECTIONS = 512  # of an agent that this tool builds from its parts; it opens none
+REQUEST_CLASS, METHOD = "read", "GET"  # All requests have this class and this method.
+# Limit on the connections to endpoints of an agent that this tool builds from its parts. Such an agent opens
+# no connection.
+MAX_ENDPOINT_CONNECTIONS = 512
 
 
 def build_agent_config(
     experiment: Experiment, number: int, discovery_port: int, known_list: dict[str, Any]
 ) -> dict[str, Any]:
-    """Return the configuration of the agent with this number, from 0.
+    """Return the configuration of the agent with this number; numbers start at 0.
 
-    `discovery_port` is on loopback; `known_list` is the endpoint list that the agent starts with.
+    `discovery_port` is the port of discovery on loopback. `known_list` is the endpoint list that the agent
+    starts with.
     """
     return {
         "name": f"n{number}",
--- a/nickelmount/fleet/agent_processes.py
+++ b/nickelmount/fleet/agent_processes.py
@@ -1,6 +1,7 @@
-"""The process that keeps the real agents: ``python -m nickelmount.fleet.agent_processes``.
+"""The process that runs the real agents: ``python -m nickelmount.fleet.agent_processes``.
 
-Real agents are processes of ``python -m nickelmount``. They end with this process, which ends with its input.
+Each real agent is a child process, ``python -m nickelmount``. The agents end when this process ends, which it
+does when its standard input ends.
 """
 
 from __future__ import annotations
@@ -24,25 +25,26 @@
 from .role import run, serve
 
 READY_TIMEOUT_S = 60.0
-STOP_TIMEOUT_S = 1.0  # then an agent that does not end is killed
+STOP_TIMEOUT_S = 1.0  # An agent that has not ended this long after its signal is killed.
 HEALTH_POLL_INTERVAL_S = 0.01
-_LISTENING = re.compile(rb"listens on [\d.]+:(\d+)")  # in the log of an agent
+_LISTENING = re.compile(rb"listens on [\d.]+:(\d+)")  # The log line in which an agent names its port.
 
 
 class AgentProcess:
-    """One agent: its process, and the address that it keeps over restarts."""
+    """A real agent: its current process, and its address, which stays the same across restarts."""
 
     def __init__(self, config: dict[str, Any], folder: Path) -> None:
         self._config, self._config_path = config, folder / f"{config['name']}.json"
         self._log_reader: asyncio.Task[None] | None = None
         self._process: asyncio.subprocess.Process | None = None
-        self._used_s = 0.0  # processor time of its processes that have ended
+        self._ended_cpu_s = 0.0  # Processor time of the agent's processes that have ended.
         self.port = 0
 
     async def start(self) -> float:
-        """Start it, and return the seconds until it answered that it is ready.
+        """Start the agent, and return the seconds until its health check succeeded.
 
-        Raises RoleError where it ends instead, and TimeoutError.
+        Raises RoleError if the agent ends before it listens on a port, and TimeoutError if it is not ready
+        after READY_TIMEOUT_S.
         """
         self._config_path.write_text(json.dumps(self._config))
         started_s = time.monotonic()
@@ -63,7 +65,7 @@
         return time.monotonic() - started_s
 
     async def _listening_port(self, process: asyncio.subprocess.Process) -> int:
-        """Read its log until it names the port."""
+        """Read the log of the agent until it names the listening port, and return the port."""
         assert process.stderr is not None
         last_line = b""
         while line := await process.stderr.readline():
@@ -71,10 +73,15 @@
             if match := _LISTENING.search(line):
                 self._log_reader = asyncio.create_task(_discard_all(process.stderr))
                 return int(match[1])
-        raise RoleError(f"agent did not start: {last_line.decode(errors='replace').strip()}")
+        raise RoleError(
+            f"the agent ended before it listened on a port: {last_line.decode(errors='replace').strip()}"
+        )
 
     async def _poll_until_healthy(self) -> None:
-        """Ask again and again: another process has no event that could be waited for."""
+        """Repeat the health check until it succeeds.
+
+        The agent is another process and has no event that could be awaited here.
+        """
         while True:
             if await self._is_healthy():
                 return
@@ -91,12 +98,12 @@
         return b" 200 " in status_line
 
     async def end(self, signal_number: signal.Signals) -> None:
-        """Send it a signal and wait; one that does not end by its timeout is killed."""
+        """Send a signal to the agent and wait until it ends; kill it after STOP_TIMEOUT_S."""
         process, self._process = self._process, None
         if process is None:
             return
         with contextlib.suppress(psutil.NoSuchProcess):
-            self._used_s += _cpu_s(psutil.Process(process.pid))
+            self._ended_cpu_s += _cpu_s(psutil.Process(process.pid))
         with contextlib.suppress(ProcessLookupError):
             process.send_signal(signal_number)
         try:
@@ -109,12 +116,12 @@
             await self._log_reader
 
     def usage(self) -> AgentUsage:
-        """Return its processor time over all restarts, and its resident memory."""
+        """Return the processor time of the agent over all restarts, and its resident memory."""
         if self._process is None or self._process.returncode is not None:
-            return AgentUsage(cpu_s=self._used_s, rss_mb=0.0, alive=0.0)
+            return AgentUsage(cpu_s=self._ended_cpu_s, rss_mb=0.0, alive=0.0)
         process = psutil.Process(self._process.pid)
         rss_mb = process.memory_info().rss / 1e6
-        return AgentUsage(cpu_s=self._used_s + _cpu_s(process), rss_mb=rss_mb, alive=1.0)
+        return AgentUsage(cpu_s=self._ended_cpu_s + _cpu_s(process), rss_mb=rss_mb, alive=1.0)
 
 
 def _cpu_s(process: psutil.Process) -> float:
@@ -123,22 +130,23 @@
 
 
 async def _discard_all(stream: asyncio.StreamReader) -> None:
-    """Read what an agent logs: a full pipe would block its next write, and with it the agent."""
+    """Read and discard the log of an agent, because a full pipe would block the agent at its next write."""
     while await stream.read(65536):
         pass
 
 
 class AgentProcesses:
-    """The role: all real agents of a run. Its public coroutines are the commands."""
+    """All real agents of a run. The public coroutines are the commands of the role."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self._agents: list[AgentProcess] = []
 
     async def start(self, configs: list[dict[str, Any]]) -> AgentsStarted:
-        """Start an agent with each configuration.
+        """Start one agent for each configuration, one after the other.
 
-        One by one: started together, they would compete for processors, and the times would be too long.
+        Agents that start at the same time would compete for processors, so that the measured times would be
+        too long.
         """
         ready_s = []
         for config in configs:
@@ -148,7 +156,7 @@
         return AgentsStarted([agent.port for agent in self._agents], ready_s)
 
     async def restart(self, indices: list[int]) -> AgentsRestarted:
-        """Kill and start these agents, one by one."""
+        """Kill and restart the agents at these indices, one after the other."""
         ready_s = []
         for index in indices:
             await self._agents[index].end(signal.SIGKILL)
@@ -156,7 +164,7 @@
         return AgentsRestarted(ready_s)
 
     async def usages(self) -> AgentUsages:
-        """Return what each agent uses."""
+        """Return the resource usage of each agent."""
         return AgentUsages([agent.usage() for agent in self._agents])
 
     async def end(self) -> None:
--- a/nickelmount/fleet/emulated_endpoints.py
+++ b/nickelmount/fleet/emulated_endpoints.py
@@ -1,7 +1,7 @@
 """Emulated endpoints: ``python -m nickelmount.fleet.emulated_endpoints``.
 
-Many listening sockets on loopback in one process. They lie on both paths that are measured, through an agent
-and directly, so each does as little as it can.
+The process has many listening sockets on loopback. Requests of both measured paths, through an agent and
+direct, end here. The endpoints therefore do as little work per request as possible.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 
 RESPONSE_BODY = b"done"
 PROBE_TARGETS = (b"/_load", b"/ping")
-ACCEPT_QUEUE = 512
-LATENCY_SMOOTHING = 0.1  # the weight of the newest request in the latency that is reported
+ACCEPT_QUEUE_LENGTH = 512
+LATENCY_SMOOTHING_FACTOR = 0.1  # Weight of the latest request in the moving average of the reported latency.
 
 
 class EndpointCounts:
-    """What has reached the endpoints of this process so far."""
+    """The counts of all endpoints of this process since the start."""
 
     def __init__(self) -> None:
         self.requests = self.probes = self.connections = 0
-        self.seen_ids: set[bytes] = set()  # of requests, by their Request-Id
+        self.seen_ids: set[bytes] = set()  # Request-Ids received so far.
         self.repeated_ids: set[bytes] = set()
 
 
 class EmulatedEndpoint:
-    """One listening socket, and the load that it reports."""
+    """An endpoint with one listening socket, and the load that it reports."""
 
     def __init__(self, counts: EndpointCounts, work_s: float) -> None:
         self.counts, self.work_s = counts, work_s
@@ -41,20 +41,20 @@
         self._listener: asyncio.Server | None = None
 
     async def listen(self) -> int:
-        """Listen, and return the port, which the system picks."""
+        """Listen on a port that the operating system chooses, and return its number."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
-            lambda: EndpointConnection(self, loop), "127.0.0.1", 0, backlog=ACCEPT_QUEUE
+            lambda: EndpointConnection(self, loop), "127.0.0.1", 0, backlog=ACCEPT_QUEUE_LENGTH
         )
         return int(self._listener.sockets[0].getsockname()[1])
 
     def record_latency(self, latency_ms: float) -> None:
-        """Take the latency of one request into the mean that is reported."""
-        weight = LATENCY_SMOOTHING if self._mean_latency_ms else 1.0
+        """Add the latency of one request to the moving average that is reported."""
+        weight = LATENCY_SMOOTHING_FACTOR if self._mean_latency_ms else 1.0
         self._mean_latency_ms += weight * (latency_ms - self._mean_latency_ms)
 
     def load_report(self) -> bytes:
-        """Return its load, as the Server-Load header has it."""
+        """Return the load of the endpoint in the format of the Server-Load header."""
         return b"inflight=%d,queue=0,latency_ms=%.3f" % (self.in_flight, self._mean_latency_ms)
 
     def close(self) -> None:
@@ -66,7 +66,7 @@
 
 
 class EndpointConnection(asyncio.Protocol):
-    """A connection to an endpoint; one request at a time."""
+    """A connection to an endpoint that carries one request at a time."""
 
     def __init__(self, endpoint: EmulatedEndpoint, loop: asyncio.AbstractEventLoop) -> None:
         self._endpoint, self._loop = endpoint, loop
@@ -74,20 +74,20 @@
         self._transport: asyncio.Transport | None = None
         self._target = self._request_id = b""
         self._started_s = 0.0
-        self._work_timer: asyncio.TimerHandle | None = None  # of the request in flight
+        self._work_timer: asyncio.TimerHandle | None = None  # Timer of the request in flight.
 
     # Callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count it."""
+        """Count the connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._endpoint.connections.add(self)
         self._endpoint.counts.connections += 1
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of a request; bytes that are none are answered with 400."""
-        if self._parser is None:  # closing
+        """Parse bytes of a request; invalid bytes are answered with 400."""
+        if self._parser is None:  # The connection has been lost.
             return
         try:
             self._parser.feed_data(data)
@@ -95,36 +95,36 @@
             self._respond(b"400 Bad Request", b"", close=True)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give up the request in flight."""
+        """Cancel the request in flight."""
         self._endpoint.connections.discard(self)
-        self._parser = None  # parser and connection refer to each other
+        self._parser = None  # Breaks the reference cycle between the parser and the connection.
         if self._work_timer is not None:
             self._work_timer.cancel()
             self._work_timer = None
             self._endpoint.in_flight -= 1
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
     # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the target and the Request-Id for a new request."""
         self._target = self._request_id = b""
 
     def on_url(self, url: bytes) -> None:
-        """Take in a part of its target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take in a header."""
+        """Store the Request-Id; other headers are ignored."""
         if name.lower() == b"request-id":
             self._request_id = value
 
     def on_message_complete(self) -> None:
-        """Answer a probe, start to work on a request, or refuse what is neither."""
+        """Answer a probe, start work on a request, or reject anything else."""
         endpoint = self._endpoint
         if self._work_timer is not None:
             self._respond(b"400 Bad Request", b"", close=True)
@@ -166,29 +166,33 @@
 
 
 class EmulatedEndpoints:
-    """The role: all endpoints of this process. Its public coroutines are the commands."""
+    """All endpoints of this process. The public coroutines are the commands of the role."""
 
     def __init__(self) -> None:
         self._counts = EndpointCounts()
         self._endpoints: list[EmulatedEndpoint] = []
 
     async def start(self, ports: int, work_ms: float = 0.0) -> EndpointsStarted:
-        """Open so many listening sockets; each request is answered after `work_ms`, at once where it is 0.
+        """Open one listening socket for each of `ports` endpoints.
 
-        Raises ValueError where the arguments make no sense, or on a second start.
+        Each request is answered after `work_ms`, or at once if it is 0. Raises ValueError if an argument is
+        invalid or the endpoints have already been started.
         """
         if self._endpoints:
-            raise ValueError("started already")
+            raise ValueError("the endpoints have already been started")
         if ports < 1 or not (math.isfinite(work_ms) and work_ms >= 0):
-            raise ValueError("ports from 1 and work_ms from 0 are wanted")
+            raise ValueError(
+                f"ports is {ports} and work_ms is {work_ms}; ports must be at least 1, and work_ms must be "
+                "finite and at least 0"
+            )
         self._endpoints = [EmulatedEndpoint(self._counts, work_ms / 1000) for _ in range(ports)]
         opened = [await endpoint.listen() for endpoint in self._endpoints]
         gc.collect()
-        gc.freeze()  # collections while it serves pass over what stays until the end anyway
+        gc.freeze()  # Objects that exist until the end are left out of later garbage collections.
         return EndpointsStarted(opened)
 
     async def status(self) -> EndpointsStatus:
-        """Return the counts since the start, and the usage."""
+        """Return the counts since the start and the resource usage."""
         used = usage()
         return EndpointsStatus(
             requests=self._counts.requests,
--- a/nickelmount/fleet/errors.py
+++ b/nickelmount/fleet/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the fleet tool. The text of each is one line for the person who runs it."""
+"""The errors of the fleet tool. The text of each error is one line for the person who runs the tool."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class FleetError(NickelmountError):
-    """The root of the tool's own errors."""
+    """The base class of the errors of the fleet tool."""
 
 
 class ExperimentError(FleetError):
-    """An experiment file cannot be used; the text names the key and the fault."""
+    """An invalid experiment file or override; the text names the key and the fault."""
 
 
 class RoleError(FleetError):
-    """The process of a role could not carry out a command, or has ended."""
+    """A failure of the process of a role, which could not execute a command or has ended."""
 
 
 class RunError(FleetError):
-    """A run of an experiment was given up."""
+    """A run of an experiment that exceeded a limit and was stopped."""
--- a/nickelmount/fleet/list_calls.py
+++ b/nickelmount/fleet/list_calls.py
@@ -1,4 +1,4 @@
-"""The calls that discovery answers: a watch of the endpoint list, or a fetch of the complete one."""
+"""The calls that discovery answers: a watch of the endpoint list, or a fetch of the complete list."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ListCall:
-    """One call for the list."""
+    """A call for the endpoint list."""
 
-    index: int | None  # the revision that the client has; None: it asks for the complete list
-    wait_ms: int  # how long the call waits for a change of that revision; 0: not at all
-    keep_alive: bool  # the connection stays open after the answer
+    index: int | None  # Revision that the client has, or None if it asks for the complete list.
+    wait_ms: int  # Maximum time to wait for a change of that revision; 0 if the call does not wait.
+    keep_alive: bool  # Whether the connection stays open after the answer.
 
 
 def parse_list_call(request: HttpMessage) -> ListCall:
-    """Return the call that a request holds; raises HttpError where it holds none."""
+    """Return the call that a request contains; raises HttpError if the request is not a valid call."""
     path, separator, query = request.target.partition(b"?")
     if path != ENDPOINT_LIST_PATH.encode():
-        raise HttpError(404, "no such path")
+        raise HttpError(404, f"path is not {ENDPOINT_LIST_PATH}")
     if request.method != b"GET":
-        raise HttpError(400, "no such method")
+        raise HttpError(400, "method is not GET")
     if not separator:
         return ListCall(None, 0, request.keep_alive)
     parameters = [parameter.partition(b"=")[::2] for parameter in query.split(b"&")]
     values = {name: int(value) for name, value in parameters if value.isdigit() and len(value) < 19}
     if len(parameters) != 2 or values.keys() != {b"index", b"wait"} or values[b"wait"] > MAX_WAIT_MS:
-        raise HttpError(400, "neither a watch nor a call for the list")
+        raise HttpError(400, f"query must consist of index and wait, with wait up to {MAX_WAIT_MS}")
     return ListCall(values[b"index"], values[b"wait"], request.keep_alive)
--- a/nickelmount/fleet/listening_port.py
+++ b/nickelmount/fleet/listening_port.py
@@ -1,4 +1,4 @@
-"""A port of 127.0.0.1 that can stop listening, in two ways, and listen again."""
+"""A port on 127.0.0.1 that can stop serving connections in two ways, and serve them again."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 from collections.abc import Callable
 
 HOST = "127.0.0.1"
-ACCEPT_QUEUE = 4096  # connections that wait in the kernel: all agents may connect at once
-ACCEPTS_PER_ITERATION = 256  # of the event loop
-# The send buffer of each connection. Without a limit the kernel accepts complete lists that the client does
-# not read, for thousands of connections.
+ACCEPT_QUEUE_LENGTH = 4096  # Length of the kernel's queue, because all agents may connect at the same time.
+ACCEPTS_PER_ITERATION = 256  # Connections that are accepted in one iteration of the event loop.
+# Size of the send buffer of each connection. Without this limit, the kernel would buffer complete lists that
+# clients do not read, for thousands of connections.
 SEND_BUFFER_BYTES = 128 * 1024
 
 
 class ListeningPort:
-    """A port that the system picks, and that stays reserved until `release`."""
+    """A port that the operating system chooses and that stays reserved until `release` is called."""
 
     def __init__(self, connection_factory: Callable[[], asyncio.BaseProtocol]) -> None:
         self._connection_factory = connection_factory
-        self._reservation: socket.socket | None = None  # bound, and never listens
-        self._socket: socket.socket | None = None  # listens, so that the kernel accepts connections
-        self._server: asyncio.Server | None = None  # accepts them from the kernel
+        self._reservation: socket.socket | None = None  # Bound to the port; never listens.
+        self._socket: socket.socket | None = None  # Listens; the kernel accepts connections.
+        self._server: asyncio.Server | None = None  # Accepts connections from the kernel.
 
     @property
     def is_reserved(self) -> bool:
-        """Whether it has a port number."""
+        """Whether a port number is reserved."""
         return self._reservation is not None
 
     @property
     def is_accepting(self) -> bool:
-        """Whether connections are accepted by this process."""
+        """Whether this process accepts connections."""
         return self._server is not None
 
     @property
     def is_open(self) -> bool:
-        """Whether the kernel accepts connections, be it that nobody serves them."""
+        """Whether the kernel accepts connections, even if this process does not serve them."""
         return self._socket is not None
 
     @property
@@ -45,41 +45,44 @@
         return int(self._reservation.getsockname()[1])
 
     def reserve(self) -> None:
-        """Let the system pick a port."""
+        """Reserve a port that the operating system chooses."""
         self._reservation = _bound_socket(0)
 
     async def open(self) -> None:
-        """Accept connections."""
+        """Listen on the reserved port, and accept connections."""
         self._socket = listening = _bound_socket(self.number)
-        # Its connections inherit the size.
+        # Accepted connections inherit this size.
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
-        # asyncio's server owns, and closes, its own copy of the socket. Its `backlog` is both the length of
-        # the kernel's queue and the number of accepts an iteration, so the queue is set again behind it.
+        # The asyncio server owns and closes a duplicate of the socket. Its `backlog` sets both the length of
+        # the kernel's queue and the number of accepts per iteration. The length is therefore set again below.
         self._server = await asyncio.get_running_loop().create_server(
             self._connection_factory, sock=listening.dup(), backlog=ACCEPTS_PER_ITERATION
         )
-        listening.listen(ACCEPT_QUEUE)
+        listening.listen(ACCEPT_QUEUE_LENGTH)
 
     def stop_accepting(self) -> None:
-        """Leave new connections to the kernel, which goes on to accept them."""
+        """Stop accepting connections in this process; the kernel still accepts new ones."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     def refuse(self) -> None:
-        """Let the kernel refuse new connections, and reset those that were not accepted from it."""
+        """Let the kernel refuse new connections and reset those that this process has not accepted."""
         if self._socket is not None:
             self._socket.close()
             self._socket = None
 
     def release(self) -> None:
-        """Give the port back to the system."""
+        """Release the reserved port."""
         if self._reservation is not None:
             self._reservation.close()
 
 
 def _bound_socket(port: int) -> socket.socket:
-    """Return a socket that does not listen; others that do not listen may be bound to the same port."""
+    """Return a socket that is bound to the port and does not listen.
+
+    Other sockets that do not listen can be bound to the same port.
+    """
     bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     bound.setblocking(False)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/nickelmount/fleet/propagation.py
+++ b/nickelmount/fleet/propagation.py
@@ -1,4 +1,4 @@
-"""How long a change of the list takes until it is in force at the hollow agents."""
+"""The propagation delay of list changes: the time until the hollow agents have applied a change."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HollowWorker:
-    """A process of hollow agents."""
+    """A process of hollow agents, with the numbers of its agents."""
 
     process: RoleProcess
     agent_numbers: list[int]
@@ -23,27 +23,30 @@
 
 @dataclass(frozen=True, slots=True)
 class PropagationTarget:
-    """A revision that hollow agents are to have, and from when the time until then counts."""
+    """A revision that hollow agents should receive, and the time from which its delay is measured."""
 
-    label: str  # of the event
+    label: str  # Label of the event that is measured.
     revision: int
-    since_ns: int  # of the monotonic clock
-    agent_numbers: frozenset[int] = frozenset()  # of these agents only; empty: of all
+    since_ns: int  # Monotonic time in ns from which the delay is measured.
+    agent_numbers: frozenset[int] = frozenset()  # Agents that are measured; all agents if it is empty.
 
 
 class PropagationMeasurement:
-    """The changes of one run that are measured."""
+    """The measurement of the propagation delays of one run."""
 
     def __init__(self, workers: list[HollowWorker]) -> None:
         self._workers = workers
         self._targets: list[PropagationTarget] = []
 
     def add(self, target: PropagationTarget) -> None:
-        """Measure this change too."""
+        """Add a revision whose propagation delay is measured."""
         self._targets.append(target)
 
     async def settle(self, max_settle_s: float) -> Figures:
-        """Wait until the agents have all changes, or the time is up; returns how long each change took."""
+        """Wait until the agents have received all targets, and return figures of the propagation delays.
+
+        Stops waiting after `max_settle_s`.
+        """
         deadline_s = time.monotonic() + max_settle_s
         while True:
             delays_ms = {target.label: await self._delays_ms(target) for target in self._targets}
@@ -57,7 +60,7 @@
         return figures
 
     async def _delays_ms(self, target: PropagationTarget) -> list[float | None]:
-        """Return the delay of each agent; None: it does not have the revision yet."""
+        """Return the delay of each measured agent, or None if it does not have the revision yet."""
         answers = await asyncio.gather(
             *(
                 worker.process.call(ListTimes, "had", revision=target.revision, since_ns=target.since_ns)
@@ -73,12 +76,12 @@
 
 
 def _propagation_figures(label: str, delays_ms: list[float | None]) -> Figures:
-    reached_ms = sorted(delay for delay in delays_ms if delay is not None)
+    reached_delays_ms = sorted(delay for delay in delays_ms if delay is not None)
     figures: Figures = {
         f"force.{label}.agents.count": len(delays_ms),
-        f"force.{label}.reached.share": len(reached_ms) / max(1, len(delays_ms)),
+        f"force.{label}.reached.share": len(reached_delays_ms) / max(1, len(delays_ms)),
     }
-    if reached_ms:
+    if reached_delays_ms:
         for name, percentile in PERCENTILES.items():
-            figures[f"force.{label}.{name}.ms"] = quantile(reached_ms, percentile / 100)
+            figures[f"force.{label}.{name}.ms"] = quantile(reached_delays_ms, percentile / 100)
     return figures
--- a/nickelmount/fleet/results.py
+++ b/nickelmount/fleet/results.py
@@ -1,6 +1,6 @@
 """The results of an experiment: the figures of its runs, and the file that holds them.
 
-Attributes that have another name than their key in the file give the key as `name`.
+An attribute whose name differs from its key in the file gives the key as `name`.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 
 
 class Figure(msgspec.Struct):
-    """One figure over all runs; the unit is the end of its name."""
+    """One figure over all runs; its name ends in its unit."""
 
     median: float
     minimum: float = field(name="least")
     maximum: float = field(name="most")
-    by_run: list[float | None] = field(name="plays")  # None: not measured in that run
+    by_run: list[float | None] = field(name="plays")  # A value is None if that run did not measure it.
 
 
 class Results(msgspec.Struct):
-    """What an experiment has measured, and all that is needed to do it again."""
+    """The figures of an experiment, and the information that is needed to repeat it."""
 
     name: str
-    written_at: str = field(name="at")  # UTC, ISO 8601
-    version: str  # of the program
+    written_at: str = field(name="at")  # UTC in the format of ISO 8601.
+    version: str  # Version of the program, as `program_version` returns it.
     seed: int
     cores: int
     memory_gb: float
@@ -46,17 +46,17 @@
 
 
 def experiment_results(experiment: Experiment, runs: list[Figures]) -> Results:
-    """Return the results of an experiment, with notes on what its figures don't say."""
+    """Return the results of an experiment, with notes on the limits of its figures."""
     notes = []
     if experiment.agents.share_lists and experiment.agents.hollow:
         notes.append(
-            "hollow agents of a process share the entries of equal lists: their memory, and the "
-            "time to take in a whole list, are not an agent's"
+            "the hollow agents of one process share the entries of equal lists, so their memory and the "
+            "time to apply a complete list are not those of a real agent"
         )
     if experiment.agents.hollow > (psutil.cpu_count() or 1):
         notes.append(
-            "hollow agents share the cores of this machine: the time to force of a change holds the "
-            "wait for a processor behind the others"
+            "hollow agents share the cores of this machine, so the propagation delay of a change includes "
+            "the time for which an agent waits for a processor"
         )
     keys = msgspec.to_builtins(experiment)
     return results_of(experiment.name, experiment.seed, keys, runs, notes)
@@ -65,7 +65,7 @@
 def results_of(
     name: str, seed: int, experiment: dict[str, Any], runs: list[Figures], notes: list[str]
 ) -> Results:
-    """Return the results of all runs; `experiment` is what they were run with."""
+    """Return the results of all runs; `experiment` holds the parameters of the runs."""
     figures = {}
     for key in dict.fromkeys(key for run in runs for key in run):
         by_run = [run.get(key) for run in runs]
@@ -86,7 +86,10 @@
 
 
 def program_version() -> str:
-    """Return the commit that runs, marked where files differ from it; "unknown" outside a repository."""
+    """Return the current commit, marked as dirty if files differ from it.
+
+    Returns "unknown" if this is not a repository or git cannot be run.
+    """
     try:
         described = subprocess.run(
             ["git", "describe", "--always", "--dirty", "--exclude=*"],
@@ -101,7 +104,10 @@
 
 
 def write_results(results: Results, folder: Path) -> Path:
-    """Write the file, complete or not at all, and return its path; raises OSError."""
+    """Write the results file and return its path; raises OSError.
+
+    If writing fails, no incomplete file remains.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{results.name}-{results.written_at.replace(':', '')}.json"
     partial_path = path.with_suffix(".part")
--- a/nickelmount/fleet/role.py
+++ b/nickelmount/fleet/role.py
@@ -1,8 +1,8 @@
-"""One process of the fleet: carries out commands from its standard input, and ends when that ends.
+"""A role: a process of the fleet that executes commands from its standard input and ends when the input ends.
 
-A command is one line, ``{"do": name, ...arguments}``; its answer is one line, ``{"ok": {...}}`` or
-``{"error": "one line"}``, in order. Since the end of its input ends the process, none is left behind even if
-the runner is killed.
+A command is one line, ``{"do": name, ...arguments}``. Its answer is one line, ``{"ok": {...}}`` or
+``{"error": "one line"}``. Answers are in the order of the commands. Because a process ends with its input, no
+process is left behind even if the runner is killed.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 import msgspec
 import psutil
 
-Command = Callable[..., Awaitable[object]]  # answers with what msgspec encodes as a JSON object
+Command = Callable[..., Awaitable[object]]  # Returns an object that msgspec encodes as a JSON object.
 Arguments = TypeVar("Arguments")
 
-MAX_LINE_BYTES = 64 * 1024 * 1024  # histograms, and times of thousands of agents, are one line
+MAX_LINE_BYTES = 64 * 1024 * 1024  # Histograms or the times of thousands of agents are one line.
 
 
 class EmptyAnswer(msgspec.Struct, frozen=True):
-    """The answer of a command that has nothing to say."""
+    """Answer to a command that returns no values."""
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """What a process has used."""
+    """Resource usage of a process."""
 
-    cpu_s: float  # processor time, user and system
-    rss_mb: float  # resident memory
+    cpu_s: float  # Processor time since the start of the process, user and system.
+    rss_mb: float  # Resident memory.
 
 
 def usage() -> Usage:
-    """Return what this process has used."""
+    """Return the resource usage of this process."""
     process = psutil.Process()
     times = process.cpu_times()
     return Usage(cpu_s=times.user + times.system, rss_mb=process.memory_info().rss / 1e6)
@@ -44,9 +44,9 @@
 def typed_command(
     arguments_type: type[Arguments], handler: Callable[[Arguments], Awaitable[object]]
 ) -> Command:
-    """Return a command whose arguments are converted to one typed message.
+    """Return a command that converts its arguments to one typed message and passes it to the handler.
 
-    The command raises msgspec.ValidationError where they do not have its form.
+    The command raises msgspec.ValidationError if the arguments do not match the type.
     """
 
     async def command(**arguments: Any) -> object:
@@ -56,23 +56,22 @@
 
 
 async def serve(commands: Mapping[str, Command]) -> None:
-    """Carry out commands until standard input ends."""
+    """Execute commands until standard input ends."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        answer = await _carry_out(commands, line)
+        answer = await _execute(commands, line)
         await asyncio.to_thread(_write_to_stdout, msgspec.json.encode(answer) + b"\n")
 
 
-async def _carry_out(commands: Mapping[str, Command], line: bytes) -> dict[str, Any]:
+async def _execute(commands: Mapping[str, Command], line: bytes) -> dict[str, Any]:
     try:
         arguments = msgspec.json.decode(line, type=dict[str, Any])
         name = arguments.pop("do")
         return {"ok": await commands[name](**arguments)}
-    except (
-        Exception
-    ) as error:  # a command may raise anything, and without a line the runner would wait forever
+    except Exception as error:
+        # A command may raise any exception. Without an answer, the runner would wait forever.
         return {"error": f"{type(error).__name__}: {error}".replace("\n", " ")}
 
 
@@ -82,9 +81,9 @@
 
 
 def run(main: Callable[[], Awaitable[None]]) -> None:
-    """Run a role until its input ends, or a SIGTERM.
+    """Run a role until its standard input ends or it receives SIGTERM.
 
-    An interrupt of the terminal reaches the runner as well, which then ends the input.
+    SIGINT is ignored: an interrupt from the terminal reaches the runner too, which then closes the input.
     """
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
--- a/nickelmount/fleet/role_process.py
+++ b/nickelmount/fleet/role_process.py
@@ -1,4 +1,4 @@
-"""The runner's side of a role: a child process, its commands and its end."""
+"""The runner's side of a role: the child process, its commands and its end."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from .errors import RoleError
 from .role import MAX_LINE_BYTES
 
-END_TIMEOUT_S = 3.0  # then a role that does not end with its input is killed
+END_TIMEOUT_S = 3.0  # A role that has not ended this long after the end of its input is killed.
 
 Answer = TypeVar("Answer")
 
 
 class RoleProcess:
-    """A child process that takes commands, one at a time; several roles work side by side."""
+    """A child process that executes one command at a time. Several roles run in parallel."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name, self._process = name, process
@@ -27,7 +27,7 @@
 
     @classmethod
     async def start(cls, module: str) -> RoleProcess:
-        """Start the role of a module of this package."""
+        """Start the role that is defined in a module of this package."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -40,10 +40,13 @@
         return cls(module, process)
 
     async def call(self, answer_type: type[Answer], command: str, /, **arguments: Any) -> Answer:
-        """Return the answer to a command; raises RoleError."""
+        """Send a command and return its answer.
+
+        Raises RoleError if the command fails, the process has ended, or the answer is not of `answer_type`.
+        """
         line = await self._exchange(msgspec.json.encode({"do": command, **arguments}) + b"\n")
         if not line:
-            raise RoleError(f"{self.name} has ended during {command}")
+            raise RoleError(f"{self.name}: {command}: the process ended without an answer")
         try:
             answer = msgspec.json.decode(line, type=dict[str, Any])
             if "error" in answer:
@@ -53,7 +56,7 @@
             raise RoleError(f"{self.name}: {command}: unexpected answer: {error}") from error
 
     async def _exchange(self, line: bytes) -> bytes:
-        """Return the line that answers a line; empty where the process has ended."""
+        """Send a line, and return the line that answers it, or an empty one if the process has ended."""
         stdin, stdout = self._process.stdin, self._process.stdout
         assert stdin is not None
         assert stdout is not None
@@ -66,15 +69,18 @@
                 return b""
 
     def memory_mb(self) -> float:
-        """Return the resident memory of it and its children; shared pages count once for each."""
+        """Return the resident memory of the process and its children, or 0 if the process has ended.
+
+        A page that several processes share is counted once for each of them.
+        """
         with contextlib.suppress(psutil.NoSuchProcess):
             process = psutil.Process(self._process.pid)
-            family = (process, *process.children(recursive=True))
-            return float(sum(member.memory_info().rss for member in family)) / 1e6
+            processes = (process, *process.children(recursive=True))
+            return float(sum(member.memory_info().rss for member in processes)) / 1e6
         return 0.0
 
     async def end(self) -> None:
-        """Close its input and wait; one that does not end by its timeout is killed."""
+        """Close the input of the process and wait until it ends; kill it after END_TIMEOUT_S."""
         assert self._process.stdin is not None
         self._process.stdin.close()
         try:
--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -1,7 +1,8 @@
-"""What lists, changes and decisions cost one agent, by the number of servers listed.
+"""The cost of lists, changes and decisions in one agent, by the number of listed servers.
 
-Measured on the list parser and the balancer alone, without sockets. Each size of each run is measured in a
-process of its own: ``python -m nickelmount.fleet.slopes``, so that its memory is that of one agent.
+The list parser and the balancer are measured alone, without sockets. Each size of each run is measured in a
+process of its own, ``python -m nickelmount.fleet.slopes``, so that the memory of the process is that of one
+agent.
 """
 
 from __future__ import annotations
@@ -40,19 +41,20 @@
 from .steady_changes import unix_time_ms
 from .versioned_list import ServerLayout, VersionedList, generate_entries
 
-CHANGES = 200  # single ones, each timed
+# All durations are on the balancer's clock.
+CHANGE_COUNT = 200  # Number of measured changes, each of one server.
 REPEATED_LISTS = 5
-REQUESTS_S = 20  # on the balancer's clock
-REQUEST_RATE_PER_S = 70  # as the capacity page of the operators has it
+REQUESTS_DURATION_S = 20
+REQUEST_RATE_PER_S = 70  # The rate for which the operators' capacity page gives its figures.
 REQUEST_TIMEOUT_US = 2_000_000
-ANSWER_US = 20_000  # until an answer, on the balancer's clock
-CHANGE_INTERVAL_US = 100_000  # on the balancer's clock
+RESPONSE_TIME_US = 20_000  # Time from the start of an attempt until its answer.
+CHANGE_INTERVAL_US = 100_000
 
 Result = TypeVar("Result")
 
 
 def _timed(call: Callable[[], Result]) -> tuple[Result, float]:
-    """Return the result of a call, and how long it took, in us."""
+    """Return the result of a call and its duration in us."""
     started_ns = time.perf_counter_ns()
     result = call()
     return result, (time.perf_counter_ns() - started_ns) / 1e3
@@ -61,14 +63,14 @@
 def _build_upstream_and_balancer(
     agent_config: Config, clock: Clock, instance_count: int, seed: int
 ) -> tuple[Upstream, Balancer]:
-    """Build the parts of an agent that apply lists and decide."""
+    """Build the parts of an agent that apply lists and make decisions."""
     settings = replace(agent_config.settings, instance_count=instance_count)
     upstream = build_upstream(agent_config, clock, MAX_ENDPOINT_CONNECTIONS)
     return upstream, Balancer(settings, seed)
 
 
-class ScalingProbe:
-    """An agent's list and decisions, without its sockets, at one number of servers."""
+class ScalingMeasurement:
+    """The measurement of an agent's lists and decisions, without its sockets, at one number of servers."""
 
     def __init__(self, servers: int, seed: int) -> None:
         self._random = Random(seed)
@@ -81,26 +83,26 @@
             racks_per_zone=experiment.servers.racks_per_zone,
             ports=[9000],
         )
-        self._list = VersionedList(generate_entries(layout), CHANGES)
+        self._list = VersionedList(generate_entries(layout), CHANGE_COUNT)
         clock = Clock()
         empty_list = {"revision": 0, "complete": True, "members": []}
         self._config = config_from(build_agent_config(experiment, 0, 9, empty_list), {}, clock)
         self._upstream, self._balancer = _build_upstream_and_balancer(
             self._config, clock, max(1, servers), seed
         )
-        self._now_us = 1_000_000  # of the balancer's clock
+        self._now_us = 1_000_000  # Current time on the balancer's clock.
         self._apply(self._config.known_list, ListUpdateKind.CACHED)
 
     def figures(self) -> Figures:
-        """Measure lists, then changes, then decisions."""
+        """Measure lists, then changes, then decisions, and return the figures."""
         body = self._list.response_body(None)
         gc.collect()
         before_mb = usage().rss_mb
         _, first_us = _timed(lambda: self._receive(body))
         repeated_us = [_timed(lambda: self._receive(body))[1] for _ in range(REPEATED_LISTS)]
         memory_mb = usage().rss_mb - before_mb
-        changes_us = [self._change() for _ in range(CHANGES)]
-        decisions_us = sorted(self._decisions())
+        changes_us = [self._measure_change() for _ in range(CHANGE_COUNT)]
+        decisions_us = sorted(self._measure_decisions())
         return {
             "whole.size.bytes": float(len(body)),
             "whole.first.ms": first_us / 1e3,
@@ -123,8 +125,11 @@
     def _receive(self, body: bytes) -> None:
         self._apply(self._config.list_parser.parse(json.loads(body)), ListUpdateKind.DELTA)
 
-    def _change(self) -> float:
-        """Return how long one change takes, in us: a server drains, or the one that did is ready again."""
+    def _measure_change(self) -> float:
+        """Return the time in us to apply one change.
+
+        The change lets a server drain or, if one is draining, lets it serve again.
+        """
         versioned_list, base = self._list, self._list.revision
         if len(versioned_list.entries("SERVING")) < len(versioned_list.entries()):
             versioned_list.restore(unix_time_ms())
@@ -134,11 +139,11 @@
         self._now_us += CHANGE_INTERVAL_US
         return _timed(lambda: self._receive(body))[1]
 
-    def _decisions(self) -> list[float]:
-        """Return how long the balancer takes for each request, in us: its arrival and its answers."""
+    def _measure_decisions(self) -> list[float]:
+        """Return the time in us that the balancer takes for each request: for its arrival and its answers."""
         durations_us: list[float] = []
-        attempts: deque[tuple[int, AttemptEnded]] = deque()  # in flight, by the time of their end
-        for request_id in range(1, REQUESTS_S * REQUEST_RATE_PER_S + 1):
+        attempts: deque[tuple[int, AttemptEnded]] = deque()  # In flight, ordered by their end time.
+        for request_id in range(1, REQUESTS_DURATION_S * REQUEST_RATE_PER_S + 1):
             self._now_us += 1_000_000 // REQUEST_RATE_PER_S
             while attempts and attempts[0][0] <= self._now_us:
                 _, end = attempts.popleft()
@@ -147,17 +152,17 @@
             durations_us.append(duration_us)
             for action in actions:
                 if isinstance(action, SendAttempt):
-                    attempts.append((self._now_us + ANSWER_US, _answer_to(request_id, action)))
+                    attempts.append((self._now_us + RESPONSE_TIME_US, _successful_end(request_id, action)))
         return durations_us
 
     def _timed_handle(self, event: Event) -> tuple[list[Action], float]:
         return _timed(lambda: self._handle(event))
 
 
-def _answer_to(request_id: int, attempt: SendAttempt) -> AttemptEnded:
+def _successful_end(request_id: int, attempt: SendAttempt) -> AttemptEnded:
     load_report = (1.0, 0.0, 10.0)
     return AttemptEnded(
-        request_id, attempt.attempt, attempt.endpoint_id, Outcome.OK, ANSWER_US, True, load_report
+        request_id, attempt.attempt, attempt.endpoint_id, Outcome.OK, RESPONSE_TIME_US, True, load_report
     )
 
 
@@ -165,7 +170,7 @@
     """Run the role until its standard input ends."""
 
     async def measure(servers: int, seed: int) -> Figures:
-        return ScalingProbe(servers, seed).figures()
+        return ScalingMeasurement(servers, seed).figures()
 
     await serve({"measure": measure})
 
--- a/nickelmount/fleet/steady_changes.py
+++ b/nickelmount/fleet/steady_changes.py
@@ -1,4 +1,4 @@
-"""Single changes of the list at an even rate."""
+"""Changes of the endpoint list at a constant rate, each of one server."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class SteadyChanges:
-    """One change at a time: a server drains, and with the next change is ready again as restarted.
+    """A source of changes: one change lets a server drain, and the next one lets it serve again as restarted.
 
-    `get_list` returns the list to change. `on_change` is called after each change; its result is not used.
+    `get_list` returns the list to change. `on_change` is called after each change; its result is ignored.
     """
 
     def __init__(self, get_list: Callable[[], VersionedList], on_change: Callable[[], object]) -> None:
         self._get_list, self._on_change = get_list, on_change
         self._task: asyncio.Task[None] | None = None
-        self._drained_id: str | None = None  # drained by the last change, and ready again with the next
+        self._drained_id: str | None = None  # Server that the latest change drained, if any.
 
     def start(self, per_s: float, seed: int) -> None:
-        """Change so many entries a second from now on."""
+        """Make `per_s` changes per second from now on."""
         self.stop()
         self._task = asyncio.get_running_loop().create_task(self._run(1 / per_s, Random(seed)))
 
     def stop(self) -> None:
-        """Change nothing more."""
+        """Stop making changes."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -36,7 +36,7 @@
         loop = asyncio.get_running_loop()
         due_s = loop.time()
         while True:
-            due_s = max(due_s + interval_s, loop.time())  # changes that are late do not come in a burst
+            due_s = max(due_s + interval_s, loop.time())  # Late changes are not made up for in a burst.
             await asyncio.sleep(due_s - loop.time())
             self._change_one(random)
 
@@ -53,5 +53,5 @@
 
 
 def unix_time_ms() -> int:
-    """Return the Unix time in ms."""
+    """Return the current Unix time in ms."""
     return time.time_ns() // 1_000_000
--- a/nickelmount/fleet/tables.py
+++ b/nickelmount/fleet/tables.py
@@ -1,4 +1,4 @@
-"""The short tables that are printed after an experiment."""
+"""The summary tables that are printed after an experiment."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 from .results import Figure, Results
 
 _PROPAGATION_COLUMNS = ("p50", "p90", "p99", "max")
-_REQUEST_COLUMNS = {  # heading, and the end of the figure's name; headings differ in spaces where they repeat
-    "calls": "through.calls.count",
+# The ends of the figures' names by column heading. Headings that repeat differ in trailing spaces, because
+# they are keys.
+_REQUEST_COLUMNS = {
+    "requests": "through.calls.count",
     "lost": "through.lost.count",
     "direct p50": "direct.from_written.p50.us",
     "p99": "direct.from_written.p99.us",
@@ -22,7 +24,7 @@
 
 
 def experiment_table(results: Results) -> str:
-    """Return the figures that a person looks at first: the median of the runs, and the range of several."""
+    """Return a table of the main figures: the median of the runs and, if there are several, their range."""
     heading = f"{results.name}: version {results.version}, seed {results.seed}, {results.cores} cores"
     notes = [f"  ({note})" for note in results.notes]
     figures = results.figures
@@ -34,10 +36,13 @@
     labels = _labels(figures, "force.", ".reached.share")
     if not labels:
         return []
-    ends = ("agents.count", "reached.share", *(f"{column}.ms" for column in _PROPAGATION_COLUMNS))
+    suffixes = ("agents.count", "reached.share", *(f"{column}.ms" for column in _PROPAGATION_COLUMNS))
     return [
-        _row("time to force, ms", ("agents", "reached", *_PROPAGATION_COLUMNS)),
-        *(_row(label, [_cell(figures, f"force.{label}.{end}") for end in ends]) for label in labels),
+        _row("propagation delay, ms", ("agents", "reached", *_PROPAGATION_COLUMNS)),
+        *(
+            _row(label, [_cell(figures, f"force.{label}.{suffix}") for suffix in suffixes])
+            for label in labels
+        ),
     ]
 
 
@@ -45,10 +50,13 @@
     phases = _labels(figures, "calls.", ".added.p50.us")
     if not phases:
         return []
-    ends = _REQUEST_COLUMNS.values()
+    suffixes = _REQUEST_COLUMNS.values()
     return [
-        _row("calls, us from written", _REQUEST_COLUMNS),
-        *(_row(phase, [_cell(figures, f"calls.{phase}.{end}") for end in ends]) for phase in phases),
+        _row("requests, us from write", _REQUEST_COLUMNS),
+        *(
+            _row(phase, [_cell(figures, f"calls.{phase}.{suffix}") for suffix in suffixes])
+            for phase in phases
+        ),
     ]
 
 
@@ -58,16 +66,19 @@
     for key, figure in figures.items():
         if key.startswith(("calls.", "force.")):
             continue
-        spread = f"   {_short(figure.minimum)} to {_short(figure.maximum)}" if has_several_runs else ""
-        rows.append(f"  {key:<40}{_short(figure.median):>12}{spread}")
+        value_range = f"   {_format(figure.minimum)} to {_format(figure.maximum)}" if has_several_runs else ""
+        rows.append(f"  {key:<40}{_format(figure.median):>12}{value_range}")
     return rows
 
 
 def scaling_table(results: Results, sizes: list[int]) -> str:
-    """Return a table of figures named ``size.figure``: a row each, a column a size, then the slope."""
+    """Return a table of the figures named ``size.figure``, with a row for each figure.
+
+    The columns are the sizes, the slope over the sizes, and the widest spread.
+    """
     heading = (
         f"{results.name}: version {results.version}, seed {results.seed}, {results.cores} cores; median, "
-        "slope for each thousand servers, and the widest spread of the plays as a share of their median"
+        "slope per thousand servers, and the widest spread of the runs as a share of their median"
     )
     columns = [f"{'servers':<18}", *(f"{size:>9}" for size in sizes), f"{'slope':>9}", f"{'spread':>6}"]
     names = list(dict.fromkeys(key.partition(".")[2] for key in results.figures))
@@ -83,16 +94,21 @@
     spread = max(
         (figure.maximum - figure.minimum) / figure.median if figure.median else 0.0 for figure in figures
     )
-    cells = [f"{name:<18}", *(f"{_short(x):>9}" for x in medians), f"{_short(slope):>9}", f"{spread:>6.0%}"]
+    cells = [
+        f"{name:<18}",
+        *(f"{_format(x):>9}" for x in medians),
+        f"{_format(slope):>9}",
+        f"{spread:>6.0%}",
+    ]
     return "  ".join(cells)
 
 
 def _cell(figures: dict[str, Figure], key: str) -> str:
-    return _short(figures[key].median) if key in figures else "-"
+    return _format(figures[key].median) if key in figures else "-"
 
 
 def _labels(figures: dict[str, Figure], prefix: str, suffix: str) -> list[str]:
-    """Return what stands between prefix and suffix in the names that have both."""
+    """Return the parts between prefix and suffix of the names that have both."""
     return [
         key[len(prefix) : -len(suffix)] for key in figures if key.startswith(prefix) and key.endswith(suffix)
     ]
@@ -102,5 +118,5 @@
     return f"  {heading:<24}" + "".join(f"{cell:>12}" for cell in cells)
 
 
-def _short(value: float) -> str:
+def _format(value: float) -> str:
     return f"{value:.0f}" if abs(value) >= 1000 or value == int(value) else f"{value:.3g}"
--- a/nickelmount/fleet/usage_figures.py
+++ b/nickelmount/fleet/usage_figures.py
@@ -1,4 +1,4 @@
-"""What discovery and the agents used in the measured time."""
+"""The figures of the resource usage and the calls of discovery and the agents in the measured time."""
 
 from __future__ import annotations
 
@@ -13,15 +13,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetStatus:
-    """The counts and the usage of all processes at one time."""
+    """The counts and the resource usage of discovery and all agents at one time."""
 
     discovery: DiscoveryStatus
-    workers: list[WorkerStatus]  # of hollow agents
-    real: list[AgentUsage]
+    workers: list[WorkerStatus]  # One for each process of hollow agents.
+    real: list[AgentUsage]  # One for each real agent.
 
 
 def usage_figures(experiment: Experiment, before: FleetStatus, after: FleetStatus) -> Figures:
-    """Return the usage between two times, which lie `experiment.measured_s` apart."""
+    """Return the figures between two times that are `experiment.measured_s` apart.
+
+    Peaks and failed calls of hollow agents are counted until `after`, not only between the two times.
+    """
     duration_s = experiment.measured_s
     hollow, real = experiment.agents.hollow, experiment.agents.real
     figures = _discovery_figures(before.discovery, after.discovery, duration_s, hollow + real)
--- a/nickelmount/fleet/waiting_watches.py
+++ b/nickelmount/fleet/waiting_watches.py
@@ -1,4 +1,4 @@
-"""The watches that wait for a change of the list. No I/O, no clock."""
+"""The watches that wait for a change of the list. Nothing here does I/O or reads a clock."""
 
 from __future__ import annotations
 
@@ -6,31 +6,33 @@
 
 from .watch_connection import WatchConnection
 
-SLOT_S = 0.01  # a wait ends up to two slots late: a timer for each call would cost more than its answer
+# Duration of a slot into which waits are grouped, because a timer for each call would cost more than its
+# answer. A wait therefore ends up to two slots late.
+SLOT_S = 0.01
 
 
 class WaitingWatches:
-    """Watches at the present revision, in slots by the time at which their wait ends.
+    """The watches of the current revision, grouped into slots by the time at which their wait ends.
 
-    All times are in seconds of one clock that the caller passes in.
+    The caller passes the current time to each method, always from the same clock.
     """
 
     def __init__(self, now_s: float) -> None:
-        self._slot_of: dict[WatchConnection, int] = {}  # in order of arrival
+        self._slot_of: dict[WatchConnection, int] = {}  # In order of arrival.
         self._by_slot: defaultdict[int, dict[WatchConnection, None]] = defaultdict(dict)
-        self._next_slot = int(now_s / SLOT_S)  # the first whose waits have not ended
+        self._next_slot = int(now_s / SLOT_S)  # First slot whose waits have not ended.
 
     def __len__(self) -> int:
         return len(self._slot_of)
 
     def add(self, connection: WatchConnection, now_s: float, wait_ms: int) -> None:
-        """Let the watch of a connection wait."""
+        """Add the watch of a connection, which waits until `wait_ms` after `now_s`."""
         slot = int((now_s + wait_ms / 1000) / SLOT_S)
         self._slot_of[connection] = slot
         self._by_slot[slot][connection] = None
 
     def remove(self, connection: WatchConnection) -> bool:
-        """Forget the watch of a connection; False: it had none that waited."""
+        """Remove the watch of a connection, and return whether the connection had a waiting watch."""
         slot = self._slot_of.pop(connection, None)
         if slot is None:
             return False
@@ -38,21 +40,21 @@
         return True
 
     def remove_all(self) -> list[WatchConnection]:
-        """Forget all, and return them in order of arrival."""
+        """Remove all watches, and return their connections in order of arrival."""
         connections = list(self._slot_of)
         self._slot_of.clear()
         self._by_slot.clear()
         return connections
 
     def remove_expired(self, now_s: float) -> list[WatchConnection]:
-        """Forget those whose wait has ended, and return them in order of its end."""
-        now_slot = int(now_s / SLOT_S)
+        """Remove the watches whose wait has ended, and return their connections in order of its end."""
+        current_slot = int(now_s / SLOT_S)
         expired = [
             connection
-            for slot in range(self._next_slot, now_slot)
+            for slot in range(self._next_slot, current_slot)
             for connection in self._by_slot.pop(slot, ())
         ]
         for connection in expired:
             del self._slot_of[connection]
-        self._next_slot = now_slot
+        self._next_slot = current_slot
         return expired
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -37,9 +37,8 @@
     async def run() -> None:
         async with asyncio.timeout(30):  # Only fails a test that hangs; no test measures this time.
             await body()
-            await asyncio.sleep(
-                0
-            )  # Connections that were closed report it in the next iteration of the loop.
+            # Closed connections are reported as closed in the next iteration of the event loop.
+            await asyncio.sleep(0)
 
     asyncio.run(run())
 
