--- a/nickelmount/fleet/agent_messages.py
+++ b/nickelmount/fleet/agent_messages.py
@@ -53,7 +53,7 @@
 class AgentsRestarted(msgspec.Struct, frozen=True):
     """Answer of the process that runs the real agents to the command `restart`."""
 
-    ready_s: list[float]  # Seconds from the new start of each agent until it was ready.
+    ready_s: list[float]  # Seconds from the restart of each agent until it was ready.
 
 
 class AgentUsage(msgspec.Struct, frozen=True):
--- a/nickelmount/fleet/emulated_discovery.py
+++ b/nickelmount/fleet/emulated_discovery.py
@@ -190,7 +190,10 @@
     # Changes
 
     def _publish(self, changed_entries: int) -> ListPublished:
-        """Answer all waiting watches after a change of `changed_entries` entries of the list."""
+        """Record a change of `changed_entries` entries, and answer all waiting watches.
+
+        If no entry has changed, nothing is recorded or answered.
+        """
         at_ns = time.monotonic_ns()
         revision = self._list.revision
         if changed_entries:
@@ -212,7 +215,7 @@
             await self._all_disconnected.wait()
 
     def on_connected(self, connection: WatchConnection) -> None:
-        """Count a new connection, or also reset it if the port has been closed meanwhile."""
+        """Count a new connection, and reset it if the port has been closed meanwhile."""
         self.counts.connections += 1
         self._connections.add(connection)
         if not self._port.is_open:
@@ -223,7 +226,7 @@
         self.counts.bytes_received += number
 
     def on_abandoned(self, connection: WatchConnection) -> None:
-        """Drop the call of a connection if it is waiting or its response is queued."""
+        """Discard the call of a connection if it is waiting or its response is queued."""
         if self._waiting.remove(connection) or self._large_responses.remove(connection):
             self.counts.abandoned += 1
 
--- a/nickelmount/fleet/experiment.py
+++ b/nickelmount/fleet/experiment.py
@@ -26,7 +26,7 @@
 
 
 class Table(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A table of the file. An unknown key is an error, because a misspelt key would otherwise be ignored."""
+    """A table of the file. An unknown key is an error; otherwise a misspelt key would keep its default."""
 
 
 class ServerSettings(Table, frozen=True):
@@ -55,7 +55,7 @@
 
 
 class DiscoverySettings(Table, frozen=True):
-    """How emulated discovery works, and how agents use it."""
+    """The behaviour of emulated discovery, and the mode in which agents use it."""
 
     mode: Literal["ask", "push"] = "ask"
     # Number of changes that discovery remembers, so that it can answer with a delta.
@@ -111,7 +111,7 @@
 
 
 class Outage(Event, tag="outage", frozen=True):
-    """An outage of discovery, after which discovery has its history of changes or has lost it."""
+    """An outage of discovery, after which discovery has either kept or lost its history of changes."""
 
     duration_s: Annotated[float, Meta(gt=0, le=3600)] = field(name="for_s", default=5.0)
     outage_kind: OutageKind = field(name="how", default="refused")
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -176,7 +176,10 @@
         return WorkerStarted(before, cpu_s=after.cpu_s, rss_mb=after.rss_mb)
 
     async def had(self, revision: int, since_ns: int) -> ListTimes:
-        """Return when each agent first had this revision or a later one, in the order of their numbers."""
+        """Return when each agent applied this revision or a later one, in the order of their numbers.
+
+        `HollowAgent.received_at_ns` says what each time means.
+        """
         return ListTimes([agent.received_at_ns(revision, since_ns) for agent in self._agents])
 
     async def restart(self, numbers: list[int]) -> WorkerRestarted:
--- a/nickelmount/fleet/load_connections.py
+++ b/nickelmount/fleet/load_connections.py
@@ -15,9 +15,9 @@
 
 log = logging.getLogger(__name__)
 
-# A connection is not reused for this time after each answer. The agent waits as long before it reuses a
-# connection to an endpoint. Direct requests and requests to agents therefore wait too, so that the time for
-# which a connection was idle is not shorter on one path than on the other.
+# A connection is not reused for this time after each answer. The agent does the same with its connections to
+# endpoints. Direct requests and requests to agents follow this rule too, so that the connections of neither
+# path are warmer than those of the other.
 REUSE_DELAY_NS = 10_000_000
 OUTCOMES_BY_STATUS = {
     200: RequestOutcome.SERVED,
@@ -105,7 +105,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Remove the connection from the pool, and count a request in flight as lost."""
         request, self.request = self.request, None
-        self._parser = None  # Breaks the reference cycle with the parser, as garbage collection is disabled.
+        self._parser = None  # Breaks the reference cycle with the parser, because garbage collection is off.
         self._pool.remove(self)
         if request is not None:
             self._pool.on_request_end(request, RequestOutcome.LOST, monotonic_ns())
--- a/nickelmount/fleet/load_generator.py
+++ b/nickelmount/fleet/load_generator.py
@@ -96,7 +96,7 @@
 
 
 def initial_connection_count(rate_per_s: float) -> int:
-    """Return the number of connections that a port needs at this rate so that few requests open a new one.
+    """Return how many connections a port needs at this rate so that almost no request opens a new one.
 
     The number of busy connections is approximately Poisson distributed. The result covers its mean plus six
     standard deviations.
--- a/nickelmount/fleet/request_tracker.py
+++ b/nickelmount/fleet/request_tracker.py
@@ -58,7 +58,7 @@
         self._timeout_s = timeout_ms / 1000 + ANSWER_GRACE_S
         self._loop = asyncio.get_running_loop()
         self.phases: dict[str, dict[RequestPath, PathStatistics]] = {}
-        self.current: dict[RequestPath, PathStatistics] = {}  # Statistics of the current phase.
+        self.current_phase: dict[RequestPath, PathStatistics] = {}  # Statistics of the current phase.
         self.in_flight = 0
         self.all_ended = asyncio.Event()
 
@@ -69,11 +69,11 @@
         """
         if name not in self.phases:
             self.phases[name] = {path: PathStatistics() for path in PATHS}
-        self.current = self.phases[name]
+        self.current_phase = self.phases[name]
 
     def start(self, pool: LoadConnectionPool, path: RequestPath, due_ns: int) -> None:
         """Send a request that is due."""
-        statistics = self.current[path]
+        statistics = self.current_phase[path]
         request = LoadRequest(due_ns, self._encoder.next_message(), statistics)
         request.timer = self._loop.call_later(self._timeout_s, self._time_out, request)
         statistics.started += 1
--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -41,11 +41,11 @@
 from .steady_changes import unix_time_ms
 from .versioned_list import ServerLayout, VersionedList, generate_entries
 
-# All durations are on the balancer's clock.
+# The durations below are on the balancer's clock.
 CHANGE_COUNT = 200  # Number of measured changes, each of one server.
 REPEATED_LISTS = 5
 REQUESTS_DURATION_S = 20
-REQUEST_RATE_PER_S = 70  # The rate for which the operators' capacity page gives its figures.
+REQUEST_RATE_PER_S = 70  # The rate that the operators' capacity page uses.
 REQUEST_TIMEOUT_US = 2_000_000
 RESPONSE_TIME_US = 20_000  # Time from the start of an attempt until its answer.
 CHANGE_INTERVAL_US = 100_000
--- a/nickelmount/fleet/versioned_list.py
+++ b/nickelmount/fleet/versioned_list.py
@@ -78,17 +78,19 @@
         """Add servers to the list, and return the revision."""
         return self._publish(list(entries))
 
-    def restore(self, started_at_ms: int, replaced: Random | None = None) -> list[ListEntry]:
+    def restore(self, started_at_ms: int, id_generator: Random | None = None) -> list[ListEntry]:
         """Let all draining and deleted servers serve again, and return their new entries.
 
-        `started_at_ms` is the Unix time in ms at which their processes started. With `replaced`, deleted
-        servers get new ids drawn from it, as if other servers had taken their places.
+        `started_at_ms` is the Unix time in ms at which their processes started. With `id_generator`, deleted
+        servers get new random ids, as if other servers had taken their places.
         """
         restored = [entry for entry in self._listed.values() if entry.phase != "SERVING"]
         deleted, self._deleted = self._deleted, {}
         used_ids = {*self._listed, *deleted}
         restored += [
-            entry if replaced is None else msgspec.structs.replace(entry, id=_unused_id(replaced, used_ids))
+            entry
+            if id_generator is None
+            else msgspec.structs.replace(entry, id=_unused_id(id_generator, used_ids))
             for entry in deleted.values()
         ]
         restored = [
--- a/tests/test_fleet_runner.py
+++ b/tests/test_fleet_runner.py
@@ -22,7 +22,7 @@
 SMALL = ROOT / "experiments" / "small.toml"
 
 
-def fleet(*arguments: str | Path) -> subprocess.CompletedProcess[str]:
+def run_fleet_tool(*arguments: str | Path) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "nickelmount.fleet", *map(str, arguments)],
         cwd=ROOT,
@@ -32,7 +32,7 @@
     )
 
 
-def figures(folder: Path) -> dict[str, Any]:
+def read_medians(folder: Path) -> dict[str, Any]:
     (path,) = folder.glob("*.json")
     return {name: f["median"] for name, f in json.loads(path.read_text())["figures"].items()}
 
@@ -42,9 +42,9 @@
 
     Because of the last event, each agent needs the complete list again.
     """
-    ended = fleet("run", SMALL, "--quiet", "--out", tmp_path)
-    assert ended.returncode == 0, ended.stderr
-    measured = figures(tmp_path)
+    completed = run_fleet_tool("run", SMALL, "--quiet", "--out", tmp_path)
+    assert completed.returncode == 0, completed.stderr
+    measured = read_medians(tmp_path)
     reached = {name: x for name, x in measured.items() if name.endswith(".reached.share")}
     assert len(reached) == 5, reached
     assert set(reached.values()) == {1.0}, reached
@@ -77,10 +77,10 @@
 ) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(text)
-    ended = fleet("check", path)
-    assert ended.returncode == 2
-    assert not ended.stdout
-    (line,) = ended.stderr.splitlines()
+    completed = run_fleet_tool("check", path)
+    assert completed.returncode == 2
+    assert not completed.stdout
+    (line,) = completed.stderr.splitlines()
     assert message in line
     assert str(path) in line
 
@@ -88,32 +88,32 @@
 def test_a_missing_file_and_a_bad_override_are_reported_in_one_line(tmp_path: Path) -> None:
     missing = tmp_path / "none.toml"
     for arguments in ([missing], [SMALL, "--set", "agents.real=many"], [SMALL, "--set", "seed"]):
-        ended = fleet("run", *arguments)
-        assert ended.returncode == 2, ended.stderr
-        assert len(ended.stderr.splitlines()) == 1, ended.stderr
+        completed = run_fleet_tool("run", *arguments)
+        assert completed.returncode == 2, completed.stderr
+        assert len(completed.stderr.splitlines()) == 1, completed.stderr
 
 
-def running_fleet(out: Path) -> subprocess.Popen[str]:
+def start_run(out: Path) -> subprocess.Popen[str]:
     """Start a run, and return its process as soon as its first event has happened."""
     command = [sys.executable, "-m", "nickelmount.fleet", "run", str(SMALL), "--out", str(out)]
-    running = subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True)
-    assert running.stderr is not None
-    while "change@0.5" not in (line := running.stderr.readline()):
+    process = subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True)
+    assert process.stderr is not None
+    while "change@0.5" not in (line := process.stderr.readline()):
         assert line, "the run ended before its first event"
-    return running
+    return process
 
 
 def test_an_interrupted_run_leaves_no_process_behind(tmp_path: Path) -> None:
     """A person interrupts a run. The run prints one line and writes no results, and all its processes end."""
-    with running_fleet(tmp_path) as running:
-        children = psutil.Process(running.pid).children(recursive=True)
+    with start_run(tmp_path) as process:
+        children = psutil.Process(process.pid).children(recursive=True)
         # These are the endpoints, discovery, two workers of hollow agents, the process that starts the real
         # agents, one real agent, and the load generator.
         assert len(children) >= 7
-        running.send_signal(signal.SIGINT)
-        assert running.wait(20) == 130
-        assert running.stderr is not None
-        assert running.stderr.read().splitlines()[-1] == "fleet: interrupted"
+        process.send_signal(signal.SIGINT)
+        assert process.wait(20) == 130
+        assert process.stderr is not None
+        assert process.stderr.read().splitlines()[-1] == "fleet: interrupted"
     _, alive = psutil.wait_procs(children, timeout=10)
     assert not alive
     assert not list(tmp_path.iterdir())
@@ -121,9 +121,9 @@
 
 def test_a_runner_that_is_killed_leaves_no_process_behind(tmp_path: Path) -> None:
     """The runner is killed and cannot end its processes. They end because their input ends."""
-    with running_fleet(tmp_path) as running:
-        children = psutil.Process(running.pid).children(recursive=True)
-        running.kill()
+    with start_run(tmp_path) as process:
+        children = psutil.Process(process.pid).children(recursive=True)
+        process.kill()
     _, alive = psutil.wait_procs(children, timeout=10)
     assert not alive
 
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -224,7 +224,7 @@
                 stream = RequestStream(tracker, "direct", [pool], due_ns)
                 stream.start(time.monotonic_ns())
                 block_loop(0.051)
-                while not tracker.current["direct"].started:
+                while not tracker.current_phase["direct"].started:
                     await asyncio.sleep(0)
                 await tracker.all_ended.wait()
                 stream.stop()
@@ -329,9 +329,11 @@
         await load_generator.call("stop")
         results = await load_generator.call("results")
         paths = [path for phase in results["phases"].values() for path in phase.values()]
-        reached = await endpoints.call("counts")
-        assert reached["requests"] == sum(p["calls"] for p in paths) == sum(p["served"] for p in paths)
-        assert reached["ids_seen_twice"] == 0
+        endpoint_counts = await endpoints.call("counts")
+        assert (
+            endpoint_counts["requests"] == sum(p["calls"] for p in paths) == sum(p["served"] for p in paths)
+        )
+        assert endpoint_counts["ids_seen_twice"] == 0
         assert set(results["phases"]) == {"warm", "calm", "changes"}
         assert all(results["phases"]["changes"][path]["calls"] for path in ("through", "direct"))
         assert results["cpu_s"] > 0
--- a/tests/test_versioned_list.py
+++ b/tests/test_versioned_list.py
@@ -92,19 +92,19 @@
 
 
 def test_deleted_servers_are_restored_as_they_were_or_replaced() -> None:
-    for replaced in (None, Random(5)):
+    for id_generator in (None, Random(5)):
         versioned_list = new_list()
         places_before = places(versioned_list)
         deleted, draining = ids(versioned_list)[:2], ids(versioned_list)[2]
         versioned_list.change(deleted, "DELETED")
         versioned_list.change([draining], "DRAINING")
-        restored = versioned_list.restore(NOW_MS, replaced)
+        restored = versioned_list.restore(NOW_MS, id_generator)
         assert versioned_list.revision == 4
         assert len(restored) == 3
         assert len(versioned_list.entries("SERVING")) == 8
         assert all(e.started_at_ms == NOW_MS for e in restored)
         assert draining in {e.id for e in restored}
-        assert (set(deleted) <= set(ids(versioned_list))) == (replaced is None)
+        assert (set(deleted) <= set(ids(versioned_list))) == (id_generator is None)
         assert places(versioned_list) == places_before
         assert versioned_list.restore(NOW_MS) == []
         assert versioned_list.revision == 4
@@ -113,29 +113,29 @@
 def test_servers_are_spread_evenly_over_racks_and_picked_by_place() -> None:
     layout = ServerLayout(120, 3, 2, 3, 4, [9001, 9002])
     other_seed = ServerLayout(120, 4, 2, 3, 4, [9001, 9002])
-    fleet = generate_entries(layout)
-    assert fleet == generate_entries(layout) != generate_entries(other_seed)
-    assert len({e.id for e in fleet}) == 120
-    assert len({e.address for e in fleet}) == 2
-    assert {e.zone for e in fleet} == {f"r{r}-z{z}" for r in range(2) for z in range(3)}
-    assert len({e.rack for e in fleet}) == len({(e.zone, e.rack) for e in fleet}) == 24
-    by_id = {e.id: e for e in fleet}
+    servers = generate_entries(layout)
+    assert servers == generate_entries(layout) != generate_entries(other_seed)
+    assert len({e.id for e in servers}) == 120
+    assert len({e.address for e in servers}) == 2
+    assert {e.zone for e in servers} == {f"r{r}-z{z}" for r in range(2) for z in range(3)}
+    assert len({e.rack for e in servers}) == len({(e.zone, e.rack) for e in servers}) == 24
+    by_id = {e.id: e for e in servers}
     places_to_pick: list[tuple[ChangeScope, int, slice]] = [
         ("zone", 20, slice(None)),
         ("region", 60, slice(2)),
     ]
     for where, size, region_part in places_to_pick:
-        picked = pick_server_ids(fleet, where, Random(1))
+        picked = pick_server_ids(servers, where, Random(1))
         assert len(picked) == size
         assert len({by_id[i].zone[region_part] for i in picked}) == 1
-    rack = pick_server_ids(fleet, "rack", Random(1))
+    rack = pick_server_ids(servers, "rack", Random(1))
     assert len(rack) == 5
     assert len({by_id[i].rack for i in rack}) == 1
-    assert len(set(pick_server_ids(fleet, "any", Random(1), share=0.3))) == 36
-    assert len(pick_server_ids(fleet, "any", Random(1), count=500)) == 120
+    assert len(set(pick_server_ids(servers, "any", Random(1), share=0.3))) == 36
+    assert len(pick_server_ids(servers, "any", Random(1), count=500)) == 120
     assert pick_server_ids([], "rack", Random(1)) == []
     with pytest.raises(ValueError, match="where 'any' needs either a share or a count"):
-        pick_server_ids(fleet, "any", Random(1))
+        pick_server_ids(servers, "any", Random(1))
 
 
 STEPS = st.lists(
