--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -89,8 +89,8 @@
     def close(self) -> None:
         """Cancel the current watch, and do not open another one."""
         self._is_closed = True
-        if self._watching is not None:
-            self._watching.cancel()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
 
 
 def _build_agent(
@@ -122,7 +122,7 @@
         self.agent, self._discovery = _build_agent(
             self._config, self._clock, self.number, seed, self.received_lists
         )
-        self.agent.start(self._config.known_list)
+        self.agent.start(self._config.cached_list)
 
     def end(self) -> None:
         """End the agent and cancel its watch."""
@@ -166,8 +166,8 @@
             base = replace(base, list_parser=SharingListParser(base.list_parser))
         for position, number in enumerate(numbers):
             # Without sharing, each agent parses the list that it starts with into entries of its own.
-            known_list = base.known_list if shared else base.list_parser.parse(config["known"])
-            agent = HollowAgent(replace(base, known_list=known_list), clock, number)
+            known_list = base.cached_list if shared else base.list_parser.parse(config["known"])
+            agent = HollowAgent(replace(base, cached_list=known_list), clock, number)
             self._agents.append(agent)
             agent.start()
             if position % STARTS_PER_ITERATION == 0:
--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -64,7 +64,7 @@
 
     def receive(self, endpoint_list: EndpointList | None) -> None:
         if endpoint_list is not None:
-            if endpoint_list.complete:
+            if endpoint_list.is_complete:
                 self.known.clear()
             self.known.update((m.endpoint.id, m) for m in endpoint_list.entries)
             self.known = {
@@ -86,7 +86,7 @@
     client = ListClient(port)
     client.discovery.fetch(client.receive)
     assert (endpoint_list := await client.updates.get()) is not None
-    assert endpoint_list.complete
+    assert endpoint_list.is_complete
     return client.known
 
 
@@ -106,7 +106,7 @@
         async with emulated_discovery() as (discovery, port):
             clients = [ListClient(port) for _ in range(20)]
             for client in clients:
-                assert (await client.watch_until(1)).complete
+                assert (await client.watch_until(1)).is_complete
             await wait_for_counts(discovery, waiting=20)
             changes = [
                 await discovery.change("DRAINING", share=0.25, seed=3),
@@ -116,7 +116,7 @@
             assert changes[0].changed_entries == 10
             assert changes[1].revision == 3
             for client in clients:
-                assert not (await client.watch_until(4)).complete
+                assert not (await client.watch_until(4)).is_complete
                 assert client.known == await fetch_list(port)
             assert len(clients[0].known) == 40
             counts = wire_counts(await discovery.status())
@@ -159,7 +159,7 @@
             if kind == "silent":
                 assert await client.updates.get() is None  # The end of the outage resets the connection.
             endpoint_list = await client.watch_until(ended.revision)
-            assert endpoint_list.complete == (history != "kept")
+            assert endpoint_list.is_complete == (history != "kept")
             assert client.known == await fetch_list(port)
             assert (await discovery.status()).failed == 1
             await client.watch_until((await discovery.change("DRAINING", count=1)).revision)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -8,7 +8,7 @@
 
 from nickelmount.agent.clock import Clock
 from nickelmount.agent.connection_pool import ConnectionPool
-from nickelmount.agent.discovery_connection import MAX_ANSWER_BYTES
+from nickelmount.agent.discovery_connection import MAX_RESPONSE_BODY_BYTES
 from nickelmount.agent.upstream import Upstream
 from nickelmount.balancer.events import EndpointStatus
 from nickelmount.protocol.endpoint_list import EndpointListParser
@@ -51,7 +51,9 @@
     upstream, parser = new_upstream(), new_parser()
     assert len(upstream.apply(parser.parse(complete_list(1, fleet())))) == 200
     assert upstream.apply(parser.parse(complete_list(2, fleet()))) == []
-    changed = fleet(member("s3", 9003, "DRAINING"), member("s4", 9004, up=77_000), member("s5", 9999))
+    changed = fleet(
+        member("s3", 9003, "DRAINING"), member("s4", 9004, up_since_ms=77_000), member("s5", 9999)
+    )
     without_s9 = [entry for entry in changed if entry["id"] != "s9"]
     endpoints = upstream.apply(parser.parse(complete_list(3, without_s9)))
     assert [(endpoint.id, endpoint.status) for endpoint in endpoints] == [
@@ -90,7 +92,7 @@
 def test_a_list_of_thousands_is_read_completely() -> None:
     members = [member(f"s-{i:08x}", 1 + i % 60000) for i in range(5000)]
     text = json.dumps({"revision": 42, "complete": True, "members": members}).encode()
-    assert len(text) < MAX_ANSWER_BYTES
+    assert len(text) < MAX_RESPONSE_BODY_BYTES
     endpoint_list = new_parser().parse(json.loads(text))
     assert len({entry.endpoint.id for entry in endpoint_list.entries}) == 5000
 
