--- a/nickelmount/fleet/agent_config.py
+++ b/nickelmount/fleet/agent_config.py
@@ -13,11 +13,11 @@
 
 
 def build_agent_config(
-    experiment: Experiment, number: int, discovery_port: int, known_list: dict[str, Any]
+    experiment: Experiment, number: int, discovery_port: int, cached_list: dict[str, Any]
 ) -> dict[str, Any]:
     """Return the configuration of the agent with this number; numbers start at 0.
 
-    `discovery_port` is the port of discovery on loopback. `known_list` is the endpoint list that the agent
+    `discovery_port` is the port of discovery on loopback. `cached_list` is the endpoint list that the agent
     starts with.
     """
     return {
@@ -26,7 +26,7 @@
         "discovery": f"127.0.0.1:{discovery_port}",
         "seed": f"{experiment.seed * 1_000_003 + number:x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": known_list,
+        "known": cached_list,
         "settings": _settings(experiment, number),
     }
 
--- a/nickelmount/fleet/fleet_processes.py
+++ b/nickelmount/fleet/fleet_processes.py
@@ -86,16 +86,16 @@
         )
         discovery = await self._discovery.call(DiscoveryStarted, "start", **msgspec.structs.asdict(settings))
         self.first_revision = discovery.revision
-        known_list = {
+        cached_list = {
             "revision": discovery.revision,
             "complete": True,
             "members": msgspec.to_builtins(generate_entries(settings)),
         }
         figures: Figures = {"list.size.bytes": discovery.list_bytes}
         if experiment.agents.hollow:
-            figures |= await self._start_hollow_agents(discovery.port, known_list)
+            figures |= await self._start_hollow_agents(discovery.port, cached_list)
         if experiment.agents.real:
-            figures |= await self._start_real_agents(discovery.port, known_list, endpoints.ports)
+            figures |= await self._start_real_agents(discovery.port, cached_list, endpoints.ports)
         return figures
 
     async def end(self) -> None:
@@ -121,7 +121,7 @@
         self._processes.append(process)
         return process
 
-    async def _start_hollow_agents(self, discovery_port: int, known_list: dict[str, Any]) -> Figures:
+    async def _start_hollow_agents(self, discovery_port: int, cached_list: dict[str, Any]) -> Figures:
         experiment, agents = self._experiment, self._experiment.agents
         cores = psutil.cpu_count() or 1
         count = min(agents.workers or max(1, cores - 2), agents.hollow)
@@ -135,7 +135,7 @@
                 worker.process.call(
                     WorkerStarted,
                     "start",
-                    config=build_agent_config(experiment, 0, discovery_port, known_list),
+                    config=build_agent_config(experiment, 0, discovery_port, cached_list),
                     numbers=worker.agent_numbers,
                     shared=agents.share_lists,
                 )
@@ -149,7 +149,7 @@
         }
 
     async def _start_real_agents(
-        self, discovery_port: int, known_list: dict[str, Any], endpoint_ports: list[int]
+        self, discovery_port: int, cached_list: dict[str, Any], endpoint_ports: list[int]
     ) -> Figures:
         experiment, requests = self._experiment, self._experiment.requests
         hollow, real = experiment.agents.hollow, experiment.agents.real
@@ -158,7 +158,7 @@
         load_generator = await self._start_role("load_generator")
         self._real = RealAgents(agents, load_generator)
         configs = [
-            build_agent_config(experiment, hollow + n, discovery_port, known_list) for n in range(real)
+            build_agent_config(experiment, hollow + n, discovery_port, cached_list) for n in range(real)
         ]
         started = await agents.call(AgentsStarted, "start", configs=configs)
         targets = [
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -166,8 +166,8 @@
             base = replace(base, list_parser=SharingListParser(base.list_parser))
         for position, number in enumerate(numbers):
             # Without sharing, each agent parses the list that it starts with into entries of its own.
-            known_list = base.cached_list if shared else base.list_parser.parse(config["known"])
-            agent = HollowAgent(replace(base, cached_list=known_list), clock, number)
+            cached_list = base.cached_list if shared else base.list_parser.parse(config["known"])
+            agent = HollowAgent(replace(base, cached_list=cached_list), clock, number)
             self._agents.append(agent)
             agent.start()
             if position % STARTS_PER_ITERATION == 0:
--- a/nickelmount/fleet/role.py
+++ b/nickelmount/fleet/role.py
@@ -20,7 +20,8 @@
 Command = Callable[..., Awaitable[object]]  # Returns an object that msgspec encodes as a JSON object.
 Arguments = TypeVar("Arguments")
 
-MAX_LINE_BYTES = 64 * 1024 * 1024  # Histograms or the times of thousands of agents are one line.
+# Maximum length of a line, which may contain histograms or the times of thousands of agents.
+MAX_LINE_BYTES = 64 * 1024 * 1024
 
 
 class EmptyAnswer(msgspec.Struct, frozen=True):
--- a/nickelmount/fleet/waiting_watches.py
+++ b/nickelmount/fleet/waiting_watches.py
@@ -14,11 +14,11 @@
 class WaitingWatches:
     """The watches of the current revision, grouped into slots by the time at which their wait ends.
 
-    The caller passes the current time to each method, always from the same clock.
+    The caller passes the current time in seconds, always from the same clock.
     """
 
     def __init__(self, now_s: float) -> None:
-        self._slot_of: dict[WatchConnection, int] = {}  # In order of arrival.
+        self._slot_of: dict[WatchConnection, int] = {}  # Slot of each connection, in order of arrival.
         self._by_slot: defaultdict[int, dict[WatchConnection, None]] = defaultdict(dict)
         self._next_slot = int(now_s / SLOT_S)  # First slot whose waits have not ended.
 
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -86,12 +86,12 @@
         tracker = new_tracker()
         async with emulated_endpoints(2, work_ms=1.0) as (endpoints, ports):
             with new_pool(ports[0], tracker) as through, new_pool(ports[1], tracker) as direct:
-                started: list[tuple[LoadConnectionPool, RequestPath, str, int]] = [
+                batches: list[tuple[LoadConnectionPool, RequestPath, str, int]] = [
                     (through, "through", "calm", 20),
                     (direct, "direct", "calm", 30),
                     (direct, "direct", "changes", 5),
                 ]
-                for pool, path, phase, number in started:
+                for pool, path, phase, number in batches:
                     tracker.begin_phase(phase)
                     for _ in range(number):
                         tracker.start(pool, path, time.monotonic_ns())
@@ -122,32 +122,32 @@
 
     async def body() -> None:
         monkeypatch.setattr(request_tracker, "ANSWER_GRACE_S", 0.02)
-        peer, tracker = await ScriptedServer().start(), new_tracker(timeout_ms=30)
-        pool = LoadConnectionPool(peer.port, tracker.end)
+        server, tracker = await ScriptedServer().start(), new_tracker(timeout_ms=30)
+        pool = LoadConnectionPool(server.port, tracker.end)
         tracker.start(pool, "direct", time.monotonic_ns())
         await tracker.all_ended.wait()
         figures = result(tracker)
         assert figures["lost"] == figures["calls"] == 1
         assert decode_histograms(figures)["from_due"].get_max_value() >= 50_000
         assert not pool.ready
-        await (await peer.requests.get()).connection.wait_for_close()
-        await peer.stop()
+        await (await server.requests.get()).connection.wait_for_close()
+        await server.stop()
 
     run_with_timeout(body)
 
 
 async def result_of_one_request(respond: Callable[[Message], Awaitable[None]]) -> dict[str, Any]:
     """Send one request, answer it with `respond`, and return the statistics."""
-    peer, tracker = await ScriptedServer().start(), new_tracker(method="POST", body_bytes=7)
-    pool = LoadConnectionPool(peer.port, tracker.end)
+    server, tracker = await ScriptedServer().start(), new_tracker(method="POST", body_bytes=7)
+    pool = LoadConnectionPool(server.port, tracker.end)
     tracker.start(pool, "direct", time.monotonic_ns())
-    message = await peer.requests.get()
+    message = await server.requests.get()
     assert message.body == b"x" * 7
     assert message.headers["request-timeout-ms"] == "5000"
     await respond(message)
     await tracker.all_ended.wait()
     pool.close()
-    await peer.stop()
+    await server.stop()
     return result(tracker)
 
 
@@ -162,9 +162,9 @@
             assert (await result_of_one_request(partial(Message.answer, status=status)))[kind] == 1
         assert (await result_of_one_request(lambda m: m.connection.write(b"what?\r\n\r\n")))["failed"] == 1
         assert (await result_of_one_request(close))["lost"] == 1
-        peer, tracker = await ScriptedServer().start(), new_tracker()
-        await peer.stop()
-        pool = LoadConnectionPool(peer.port, tracker.end)  # The port is closed.
+        server, tracker = await ScriptedServer().start(), new_tracker()
+        await server.stop()
+        pool = LoadConnectionPool(server.port, tracker.end)  # The port is closed.
         tracker.start(pool, "direct", time.monotonic_ns())
         await tracker.all_ended.wait()
         figures = result(tracker)
