--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -1,19 +1,21 @@
-"""The balancer: dispatch of events, and the way of a request through the rules, in order.
+"""The balancer, which dispatches events and takes each request through the rules.
 
-Each rule stands in the module named for it:
+Each rule is in a module of its own:
 
-    admission.py            is a request worth an attempt now, may it wait, or is it shed
-    sampling.py             which two endpoints are compared, and which of them takes the attempt
-    slow_start.py           how many requests a warming endpoint gets
-    outlier_detection.py    when an endpoint is ejected, and how it returns
-    probing.py              when samples are asked for their load before they are compared
+    admission.py            whether a request is sent now, waits, or is shed
+    sampling.py             which two endpoints are compared, and which of them gets the attempt
+    slow_start.py           how many requests an endpoint gets while it is warming up
+    outlier_detection.py    when an endpoint is ejected and how it is readmitted
+    probing.py              when endpoints are asked for their load before they are compared
     retry.py                where and when a request may be sent again
-    hedging.py              when a second attempt goes out beside the first
-    quota.py                which requests are beyond their tenant's quota
-    endpoint_set.py         what discovery has listed; subset.py: the part of it that is sampled
-    load_table.py           what each endpoint holds and how fast it works; gossip.py: told by other balancers
+    hedging.py              when a second attempt is sent while the first is in flight
+    quota.py                which requests exceed the quota of their tenant
+    endpoint_set.py         which endpoints discovery has listed
+    subset.py               which of the listed endpoints are sampled
+    load_table.py           how much load each endpoint has, and how fast it works
+    gossip.py               which load reports are exchanged with other balancers
     endpoint_watch.py       when the watch of the endpoint list is opened
-    feedback.py             what the end of an attempt teaches
+    feedback.py             what is learned from the end of an attempt
 """
 
 from __future__ import annotations
@@ -57,7 +59,7 @@
 from .outlier_detection import OutlierDetector
 from .probing import MAX_PROBED_PAIRS, Probing
 from .quota import TenantQuotas
-from .request import Attempt, RandomDraws, Request, check_arrival
+from .request import Attempt, RandomDraws, Request, validate_arrival
 from .retry import RetryBudget, RetryRules
 from .sampling import MAX_ENDPOINTS_CHECKED, EligibilityRules, Sampler
 from .settings import Settings
@@ -67,25 +69,28 @@
 from .traffic import RecentArrivals
 from .units import MILLISECOND_US
 
-# A request for which no endpoint takes part is looked at again after this, one that waits for a busy endpoint
-# after this multiple of the typical latency.
+# Delay after which a request is tried again if no endpoint accepts it.
 NO_ENDPOINT_RECHECK_US = 20 * MILLISECOND_US
-BUSY_RECHECK_LATENCIES = 0.15  # one that waits for a busy endpoint, as a multiple of the typical latency
-RETRY_AFTER_LATENCIES = 2  # a rejected client is advised to come again after so many typical latencies
+# Delay after which a request is tried again if all endpoints are busy, in typical latencies.
+BUSY_RECHECK_LATENCIES = 0.15
+# Delay after which a rejected client is advised to try again, in typical latencies.
+RETRY_AFTER_LATENCIES = 2
 
 
 class Balancer:
-    """One balancer. Hand every event to handle() in order; carry out the actions that it returns in order.
+    """A balancer, which turns events into actions.
 
-    `seed` is all the randomness there is: the same settings, seed and events give the same actions.
+    The caller passes every event to handle() in order, and carries out the returned actions in order. `seed`
+    is the only source of randomness: the same settings, seed and events give the same actions.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.now_us = 0
-        self.requests: dict[int, Request] = {}  # without a final answer, or with attempts in flight
-        self.waiting: set[int] = set()  # requests that wait for a busy endpoint
-        self.in_flight_count = 0  # attempts without an end
+        # Requests by id that have no final answer yet, or have attempts in flight.
+        self.requests: dict[int, Request] = {}
+        self.waiting: set[int] = set()  # Ids of the requests that wait for a busy endpoint.
+        self.in_flight_count = 0  # Number of attempts in flight, over all requests.
         self._actions: list[Action] = []
         rng = self._rng = Random(seed)
         self.timers = TimerQueue(self._emit)
@@ -99,16 +104,16 @@
         ramp = WarmUpRamp(settings)
         self.slow_start = SlowStart(settings, ramp, rng)
         self.outliers = OutlierDetector(rng, self._log)
-        hears_all = self.gossip.is_enabled or self.probing.is_enabled
-        self.endpoints = EndpointSet(ramp, rng, draws_order=not hears_all)
-        self.subset = Subset(settings, ramp, self.endpoints, uses_all=hears_all)
+        knows_all_loads = self.gossip.is_enabled or self.probing.is_enabled
+        self.endpoints = EndpointSet(ramp, rng, draws_order=not knows_all_loads)
+        self.subset = Subset(settings, ramp, self.endpoints, uses_all=knows_all_loads)
         self.admission = AdmissionControl(
             settings,
             self.table,
             self.subset,
             self.arrivals,
-            fresh_load_us=self._fresh_load_us(),
-            has_limit=not self.gossip.is_enabled,
+            max_known_load_age_us=self._max_known_load_age_us(),
+            has_concurrency_limit=not self.gossip.is_enabled,
         )
         rules = EligibilityRules(
             self.admission,
@@ -116,7 +121,7 @@
             self.slow_start,
             self.retry,
             is_probed=self.probing.is_enabled,
-            hears_all=self.gossip.is_enabled,
+            has_gossip=self.gossip.is_enabled,
         )
         self.sampler = Sampler(rules, self.table, self.subset, rng)
         self._feedback = AttemptFeedback(self.table, self.outliers, self.quotas, self.gossip, self._emit)
@@ -133,14 +138,15 @@
         }
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event at this time; return what to do about it.
+        """Process an event that happened at `now_us`, and return the actions to carry out.
 
-        Raises TypeError where it is no event, and ValueError, naming the field, where it makes no sense.
+        Raises TypeError if the object is not an event, and ValueError with the name of the field if a value
+        is invalid.
         """
         self.now_us, self._actions = now_us, []
         handler = self._handlers.get(type(event))
         if handler is None:
-            raise TypeError(f"{type(event).__name__} is no event of the balancer")
+            raise TypeError(f"{type(event).__name__} is not an event of the balancer")
         handler(event)
         return self._actions
 
@@ -153,8 +159,8 @@
     def _schedule(self, at_us: int, call: Callable[[Any], None], argument: Any) -> None:
         self.timers.schedule(self.now_us, at_us, call, argument)
 
-    def _fresh_load_us(self) -> int:
-        """How young a load must be to be known, not guessed; -1: none is."""
+    def _max_known_load_age_us(self) -> int:
+        """Return the age up to which a load counts as known, or -1 if every load is an estimate."""
         if self.probing.is_enabled:
             return self.probing.max_age_us
         return FRESH_GOSSIP_US if self.gossip.is_enabled else -1
@@ -181,38 +187,40 @@
         self.slow_start.instances_per_endpoint = self.settings.instance_count / self.subset.ready_per_sampled
 
     def _refresh(self) -> None:
-        """Bring subset and load table up to date before endpoints are chosen."""
+        """Bring the subset and the load table up to date before endpoints are chosen."""
         if self.subset.is_outdated(self.arrivals, self.now_us):
             self._choose_subset()
         self.sampler.refresh(self.now_us)
 
-    # The way of a request
+    # Requests
 
     def _on_request_arrived(self, event: RequestArrived) -> None:
         now_us = self.now_us
-        check_arrival(event, self.settings, self.requests)
+        validate_arrival(event, self.settings, self.requests)
         relative_cost = self.table.learn_cost(event.cost_us)
         draws = RandomDraws(slow_start=self._rng.random(), exploration=self._rng.random())
         request_class = self.settings.classes[event.request_class]
         request = Request(event, request_class, now_us, draws, relative_cost, MAX_PROBED_PAIRS)
         self.requests[event.request_id] = request
-        self.retry_budget.request_arrived()
+        self.retry_budget.record_arrival()
         if not event.is_retry:
             self.arrivals.request_arrived(now_us)
-        # A client's retry has used up part of its time: even served first it would probably be late.
+        # A client's retry has low priority because part of its time is used up: it would probably be late
+        # even if it was served first.
         request.is_low_priority = self.quotas.is_exceeded(event.tenant, now_us) or event.is_retry
         self._advance(request)
 
     def _advance(self, request: Request) -> None:
-        """Send a request on, let it wait, or give its final answer.
-
-        1. No time or no attempt is left: the final answer.
-        2. As many attempts are in flight as may be: it waits for a place, where one that comes soon still
-           serves it, or gets its final answer.
-        3. Two samples are drawn. None is eligible: before its first attempt it waits while no endpoint
-           accepts it at all, judged by the first MAX_ENDPOINTS_CHECKED, and as in 2 while all are busy; else
-           it gets its final answer.
-        4. The samples are probed where that is cheap, and compared: the lighter one gets the attempt.
+        """Send a request, let it wait, or give its final answer.
+
+        1. If no time or no attempt is left, the request gets its final answer.
+        2. If the concurrency limit is reached, the request waits if a slot that becomes free soon can still
+           serve it in time, and otherwise gets its final answer.
+        3. Two samples are drawn among the eligible endpoints. If there are none, but one of the first
+           MAX_ENDPOINTS_CHECKED allowed endpoints accepts the request, all are busy, and step 2 applies. If
+           none accepts it, a request that was not sent yet is tried again until shortly before its objective;
+           any other gets its final answer.
+        4. The samples are probed if that is cheap, and compared. The less loaded one gets the attempt.
         """
         now_us = self.now_us
         self.waiting.discard(request.id)
@@ -220,7 +228,7 @@
         if time_left_us <= 0 or not self.retry.has_attempts_left(request):
             return self._finish(request)
         self._refresh()
-        allowed = self.sampler.endpoints_retry_allows(request, now_us)
+        allowed = self.sampler.allowed_endpoints(request, now_us)
         if self.admission.is_at_limit(request, self.in_flight_count, now_us):
             return self._wait_or_finish(request)
         pair = self.sampler.draw_pair(request, allowed, now_us) if allowed else None
@@ -237,7 +245,7 @@
         return self._finish(request)
 
     def _wait_or_finish(self, request: Request) -> None:
-        """Let a request wait for a busy endpoint, where a place that comes soon still serves it."""
+        """Let a request wait for a busy endpoint if admission allows it; otherwise give its final answer."""
         ready_count = len(self.endpoints.ready)
         if not self.admission.can_wait(request, len(self.waiting), ready_count, self.now_us):
             return self._finish(request)
@@ -253,7 +261,7 @@
     # Probes
 
     def _probe(self, request: Request, pair: tuple[TrackedEndpoint, TrackedEndpoint]) -> None:
-        """Bring the load of both samples up to date where that is cheap, then compare them."""
+        """Probe the samples if that is cheap and their loads are not known, and then compare them."""
         now_us = self.now_us
         for endpoint in self.probing.begin(request, pair, now_us):
             self._emit(SendProbe(endpoint.id))
@@ -270,7 +278,7 @@
             self._compare(request)
 
     def _on_probe_ended(self, event: ProbeEnded) -> None:
-        """Learn the load, and that alone: that a process answers probes is no proof that it works."""
+        """Record the load and nothing else, because a process that answers probes may still fail requests."""
         endpoint = self.endpoints.by_id.get(event.endpoint_id)
         if endpoint is None:
             return
@@ -282,15 +290,16 @@
             self._compare(request)
 
     def _compare(self, request: Request) -> None:
-        """Send to the lighter of two samples, or draw again if neither can answer in time.
+        """Send the request to the less loaded of its samples, or draw again if neither can answer in time.
 
-        A sample that answered its probe goes before one that did not; if none did, the load table decides.
+        A sample that answered its probe is preferred to one that did not. If neither did, the load table
+        decides. After max_probed_pairs the request is not drawn again, but waits or gets its final answer.
         """
         assert request.candidates is not None
         pair = request.candidates
         now_us, admission = self.now_us, self.admission
-        limit_us = admission.predicted_time_limit_us(request, now_us)
-        left_us = request.objective_at_us - now_us
+        time_limit_us = admission.predicted_time_limit_us(request, now_us)
+        time_to_objective_us = request.objective_at_us - now_us
         unanswered = request.unanswered_probes if len(request.unanswered_probes) < len(set(pair)) else []
         request.candidates, request.unanswered_probes = None, []
         eligible = [
@@ -298,10 +307,10 @@
             for endpoint in pair
             if self.retry.allows(request, endpoint, now_us)
             and endpoint not in unanswered
-            and admission.is_worth_sampling(request, endpoint, limit_us, left_us, now_us)
+            and admission.is_worth_sampling(request, endpoint, time_limit_us, time_to_objective_us, now_us)
         ]
         if eligible and admission.time_left_us(request, now_us) > 0:
-            self._send(request, self.sampler.lighter((eligible[0], eligible[-1]), now_us))
+            self._send(request, self.sampler.less_loaded((eligible[0], eligible[-1]), now_us))
         elif request.probed_pair_count < request.max_probed_pairs:
             self._advance(request)
         else:
@@ -314,11 +323,11 @@
         load = self.table.total_in_flight(endpoint, now_us) + request.relative_cost
         write_within_us = self.retry.write_limit_us(request, now_us)
         attempt = Attempt(number, endpoint, now_us, load)
-        self.admission.attempt_sent(request, now_us)
+        self.admission.record_attempt(request, now_us)
         request.attempts_sent += 1
         request.in_flight[number] = attempt
         request.may_have_run.append(attempt)
-        request.attempted.append(endpoint)
+        request.attempted_endpoints.append(endpoint)
         endpoint.in_flight[(request.id, number)] = now_us
         self.in_flight_count += 1
         timeout_us = max(1, request.deadline_us - now_us - self.admission.answer_margin_us)
@@ -328,18 +337,18 @@
             self._schedule(hedge_at_us, self._hedge, (request, number))
 
     def _hedge(self, argument: tuple[Request, int]) -> None:
-        """Send a second attempt beside one that is unusually slow, if another endpoint can take it."""
+        """Send a second attempt if the first is unusually slow and another endpoint can take it."""
         request, number = argument
         if not self.hedging.is_only_attempt(request, number) or self.retry_budget.is_exhausted:
             return
         self._refresh()
-        allowed = self.sampler.endpoints_retry_allows(request, self.now_us)
+        allowed = self.sampler.allowed_endpoints(request, self.now_us)
         if not allowed or not self.retry.has_attempts_left(request):
             return
         pair = self.sampler.draw_pair(request, allowed, self.now_us)
         if pair is None:
             return
-        endpoint = self.sampler.lighter(pair, self.now_us)
+        endpoint = self.sampler.less_loaded(pair, self.now_us)
         if endpoint is not request.in_flight[number].endpoint:
             self.retry_budget.spend()
             self._send(request, endpoint)
@@ -356,7 +365,7 @@
             request.may_have_run = [a for a in request.may_have_run if a is not attempt]
         if event.finished and not request.is_done:
             request.is_done = True
-            self.slow_start.request_ended(is_served=True)
+            self.slow_start.record_final_answer(is_served=True)
             self._cancel_attempts(request)
         if request.in_flight:
             return
@@ -366,9 +375,10 @@
             self._retry(request, event.outcome)
 
     def _retry(self, request: Request, outcome: Outcome) -> None:
-        """Go on with a request whose attempt has ended without an answer.
+        """Continue a request whose last attempt in flight has ended without an answer.
 
-        CONNECT_FAILED is not paid for from the budget: no endpoint has begun to work on the request.
+        A retry after CONNECT_FAILED is not charged to the retry budget, because no endpoint has begun to work
+        on the request.
         """
         if outcome is not Outcome.CONNECT_FAILED:
             if self.retry_budget.is_exhausted:
@@ -376,7 +386,7 @@
             self.retry_budget.spend()
         return self._advance(request)
 
-    # The end of a request
+    # Final answers
 
     def _on_response_started(self, event: ResponseStarted) -> None:
         request = self.requests.get(event.request_id)
@@ -391,9 +401,9 @@
             self._drop(request)
 
     def _finish(self, request: Request) -> None:
-        """Give the one final answer: rejected where its promise holds, else failed."""
+        """Give the final answer: a rejection if the client may safely retry, otherwise a failure."""
         request.is_done = True
-        self.slow_start.request_ended(is_served=False)
+        self.slow_start.record_final_answer(is_served=False)
         if self.retry.can_reject(request):
             self._emit(RejectRequest(request.id, self._retry_after_us()))
         else:
@@ -407,7 +417,10 @@
         return min(advised_us, self.settings.max_retry_after_us)
 
     def _drop(self, request: Request) -> None:
-        """Cancel what is in flight; the request is forgotten with its last attempt."""
+        """Cancel the attempts in flight, and forget the request if there are none.
+
+        Otherwise it is forgotten when its last attempt ends.
+        """
         self.waiting.discard(request.id)
         self._cancel_attempts(request)
         if not request.in_flight:
--- a/nickelmount/balancer/outlier_detection.py
+++ b/nickelmount/balancer/outlier_detection.py
@@ -1,15 +1,16 @@
-"""Outlier detection: which endpoints are ejected from sampling, and how they return.
+"""Outlier detection: which endpoints are ejected from sampling, and how they are readmitted.
 
 An endpoint is ejected
 
-- after three failures in a row, or two where the last is a failed connect or its failure rate is
-  high;
-- while readmitted, after any further failure; a reset or a failed connect counts through the streak only;
-- for as long as it is unresponsive: attempts are in flight, and nothing has been answered for long.
+- after three failures in a row, or after two if the last one is a failed connect or its failure rate is high;
+- after any further failure while it is being readmitted, except that a reset or a failed connect only counts
+  as one more failure in a row;
+- for as long as it is unresponsive, which means that attempts are in flight and it has not answered for long.
 
-An ejection lasts half a second, twice as long each time, with jitter. Then the endpoint is readmitted with
-one attempt in flight, one more after each success, and without a limit after eight. Where most endpoints look
-like outliers the cause is a shared one, and none is ejected: the rest would be overloaded.
+The first ejection lasts half a second, and each further one twice as long up to four seconds, with jitter.
+Then the endpoint is readmitted with one attempt in flight, one more after each success, and no limit after
+eight successes. If most endpoints look like outliers, they have a common cause, and all are still sampled,
+because the remaining endpoints would be overloaded.
 """
 
 from __future__ import annotations
@@ -21,32 +22,35 @@
 from .events import Outcome
 from .units import MILLISECOND_US, SECOND_US
 
-FAILURE_RATE_SMOOTHING = 0.1
-MAX_FAILURE_STREAK = 3
-MAX_FAILURE_STREAK_IF_LIKELY = 2  # the same after a failed connect, and above this failure rate:
+FAILURE_RATE_SMOOTHING = 0.1  # Smoothing factor of an endpoint's failure rate.
+MAX_FAILURE_STREAK = 3  # An endpoint is ejected after this many failures in a row.
+# It is ejected after this many if the last one is a failed connect or its failure rate is high.
+MAX_FAILURE_STREAK_IF_LIKELY = 2
 HIGH_FAILURE_RATE = 0.3
-UNRESPONSIVE_LATENCIES = 5  # so many typical latencies without an answer
-MIN_UNRESPONSIVE_ATTEMPTS = 2  # with at least so many attempts in flight
+# An endpoint that has not answered for this many typical latencies is unresponsive, provided that at least
+# MIN_UNRESPONSIVE_ATTEMPTS attempts are in flight.
+UNRESPONSIVE_LATENCIES = 5
+MIN_UNRESPONSIVE_ATTEMPTS = 2
 FIRST_EJECTION_US = 500 * MILLISECOND_US
 MAX_EJECTION_US = 4 * SECOND_US
-READMISSION_TRIALS = 8  # successes after which the limit on a readmitted endpoint falls
+READMISSION_TRIALS = 8  # A readmitted endpoint has no limit any more after this many successes.
 
 
 class OutlierDetector:
-    """Ejects endpoints on strong evidence only. Log lines go to `log`."""
+    """The rules that eject endpoints, on strong evidence only. Log lines are passed to `log`."""
 
     def __init__(self, rng: Random, log: Callable[[str], None]) -> None:
         self._rng, self._log = rng, log
-        self._has_shared_cause = False  # most endpoints look like outliers
+        self._has_common_cause = False  # True if most endpoints look like outliers.
 
     def refresh(self, endpoints: list[TrackedEndpoint], now_us: int, typical_latency_us: float) -> None:
-        """Look whether most of the endpoints are outliers."""
-        outliers = sum(self._is_outlier(e, now_us, typical_latency_us) for e in endpoints)
-        self._has_shared_cause = 2 * outliers > len(endpoints)
+        """Check whether most of the endpoints look like outliers, which indicates a common cause."""
+        outlier_count = sum(self._is_outlier(e, now_us, typical_latency_us) for e in endpoints)
+        self._has_common_cause = 2 * outlier_count > len(endpoints)
 
     def admits(self, endpoint: TrackedEndpoint, now_us: int, typical_latency_us: float) -> bool:
-        """Whether an endpoint may be sampled."""
-        return self._has_shared_cause or not self._is_outlier(endpoint, now_us, typical_latency_us)
+        """Return whether an endpoint may be sampled."""
+        return self._has_common_cause or not self._is_outlier(endpoint, now_us, typical_latency_us)
 
     def _is_outlier(self, endpoint: TrackedEndpoint, now_us: int, typical_latency_us: float) -> bool:
         if endpoint.ejected_until_us > now_us:
@@ -60,13 +64,13 @@
         return unresponsive_us > UNRESPONSIVE_LATENCIES * typical_latency_us
 
     def record_attempt_end(self, endpoint: TrackedEndpoint, outcome: Outcome, now_us: int) -> None:
-        """Count a success or a failure; an attempt that was not sent, or cancelled, is neither."""
+        """Record a success or a failure. An attempt that was not sent or was cancelled is neither."""
         if outcome is Outcome.OK:
-            self._succeeded(endpoint, now_us)
+            self._record_success(endpoint, now_us)
         elif outcome is not Outcome.NOT_SENT and outcome is not Outcome.CANCELLED:
-            self._failed(endpoint, outcome, now_us)
+            self._record_failure(endpoint, outcome, now_us)
 
-    def _succeeded(self, endpoint: TrackedEndpoint, now_us: int) -> None:
+    def _record_success(self, endpoint: TrackedEndpoint, now_us: int) -> None:
         endpoint.failure_rate -= FAILURE_RATE_SMOOTHING * endpoint.failure_rate
         endpoint.failure_streak = 0
         if endpoint.trial_limit and endpoint.ejected_until_us <= now_us:
@@ -75,10 +79,11 @@
                 endpoint.trial_limit = endpoint.ejection_us = 0
                 self._log(f"endpoint {printable_id(endpoint.id)} readmitted in full")
 
-    def _failed(self, endpoint: TrackedEndpoint, outcome: Outcome, now_us: int) -> None:
+    def _record_failure(self, endpoint: TrackedEndpoint, outcome: Outcome, now_us: int) -> None:
         endpoint.failure_rate += FAILURE_RATE_SMOOTHING * (1.0 - endpoint.failure_rate)
         endpoint.failure_streak += 1
-        # One broken connection says little of the process behind it; a dead one refuses the next too.
+        # One broken connection says little about the process behind it. A process that has died refuses the
+        # next connection as well.
         is_connect_failure = outcome is Outcome.CONNECT_FAILED
         fails_readmission = (
             endpoint.trial_limit > 0 and not is_connect_failure and outcome is not Outcome.RESET
--- a/nickelmount/balancer/quota.py
+++ b/nickelmount/balancer/quota.py
@@ -1,7 +1,7 @@
-"""Quotas of tenants: which requests are beyond their tenant's quota.
+"""Tenant quotas: which requests exceed the quota of their tenant.
 
-A quota is over all balancers; this one's part of it is its part of the traffic, which it learns from what it
-and all others hold at the endpoints.
+A quota applies to all balancers together. The part of one balancer equals its share of the traffic, which it
+estimates by comparing its own attempts in flight at the endpoints with those of the other balancers.
 """
 
 from __future__ import annotations
@@ -9,25 +9,29 @@
 from .settings import Settings
 from .units import SECOND_US
 
-TRAFFIC_SHARE_SMOOTHING = 0.002
+TRAFFIC_SHARE_SMOOTHING = 0.002  # Smoothing factor of the estimated share of the traffic.
 
 
 class TenantQuotas:
-    """A token bucket for each tenant, one second deep."""
+    """A token bucket for each tenant, which holds the quota of one second, but at least one request."""
 
     def __init__(self, settings: Settings) -> None:
         self._quotas_per_us = [tenant.quota_per_s / SECOND_US for tenant in settings.tenants]
         self._traffic_share = 1.0 / settings.instance_count
-        self._buckets = [(1.0, 0)] * len(self._quotas_per_us)  # tokens, and as of when
+        # The tokens of each tenant, and the time in us as of which they were counted; 0 if never.
+        self._buckets = [(1.0, 0)] * len(self._quotas_per_us)
 
     def update_traffic_share(self, own_in_flight: int, other_in_flight: float) -> None:
-        """Learn this balancer's part of the traffic from what is in flight at one endpoint."""
+        """Update this balancer's share of the traffic from the attempts in flight at one endpoint."""
         if own_in_flight + other_in_flight > 0:
             share = own_in_flight / (own_in_flight + other_in_flight)
             self._traffic_share += TRAFFIC_SHARE_SMOOTHING * (share - self._traffic_share)
 
     def is_exceeded(self, tenant: int, now_us: int) -> bool:
-        """Take a token for a request that has arrived; return whether there was none."""
+        """Take a token for a request that has arrived, and return whether there was none.
+
+        Return False, without taking one, if the tenant has no quota.
+        """
         if not self._quotas_per_us or not self._quotas_per_us[tenant]:
             return False
         rate = self._quotas_per_us[tenant] * self._traffic_share
--- a/nickelmount/balancer/request.py
+++ b/nickelmount/balancer/request.py
@@ -1,4 +1,4 @@
-"""What one balancer knows of one request, until its final answer is given and its attempts have ended."""
+"""The state of one request, which is kept until its final answer is given and its attempts have ended."""
 
 from __future__ import annotations
 
@@ -10,47 +10,51 @@
 from .settings import RequestClass, Settings, require
 
 
-def check_arrival(event: RequestArrived, settings: Settings, open_requests: Container[int]) -> None:
-    """Raise ValueError, naming the field, where a request that arrives makes no sense."""
+def validate_arrival(event: RequestArrived, settings: Settings, open_requests: Container[int]) -> None:
+    """Check a request that arrives.
+
+    Raises ValueError with the name of the field if a value is invalid.
+    """
     is_class = 0 <= event.request_class < len(settings.classes)
-    require(is_class, "request_class", f"no class {event.request_class}")
+    require(is_class, "request_class", f"{event.request_class} is not an index into Settings.classes")
     is_tenant = 0 <= event.tenant < max(1, len(settings.tenants))
-    require(is_tenant, "tenant", f"no tenant {event.tenant}")
+    require(is_tenant, "tenant", f"{event.tenant} is not an index into Settings.tenants")
     is_new = event.request_id not in open_requests
-    require(is_new, "request_id", f"{event.request_id} has no final answer yet")
+    require(is_new, "request_id", f"request {event.request_id} is still open")
 
 
 @dataclass(slots=True, eq=False)
 class RandomDraws:
-    """The random numbers of one request, from 0 up to 1.
+    """The random numbers of one request, at least 0 and below 1.
 
-    They are drawn once: a request that is looked at again and again must not draw until a rule lets it pass.
+    They are drawn once per request, because a request that is tried repeatedly could otherwise draw again
+    until a rule admits it.
     """
 
-    slow_start: float  # which warming endpoints it may be sent to, and which that gossip is silent about
-    exploration: float  # whether it may try an endpoint of which nothing is known
+    slow_start: float  # Decides which warming endpoints, and which silent ones, the request may be sent to.
+    exploration: float  # Decides whether the request may explore an endpoint.
 
     @property
     def concurrency(self) -> float:
-        """Whether it may use the fraction of a small concurrency limit."""
+        """The number that decides whether the request may use the fraction of a small concurrency limit."""
         return (self.slow_start + self.exploration) % 1.0
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a request."""
+    """One attempt of a request at an endpoint."""
 
     number: int
     endpoint: TrackedEndpoint
     sent_at_us: int
-    load_at_send: float  # what the endpoint held by the load table, this attempt included
+    load_at_send: float  # The load of the endpoint according to the load table, this attempt included.
 
 
 class Request:
-    """A request that this balancer has taken."""
+    """A request that has arrived at this balancer."""
 
     __slots__ = (
-        "attempted",
+        "attempted_endpoints",
         "attempts_sent",
         "candidates",
         "deadline_us",
@@ -84,15 +88,16 @@
         self.deadline_us = now_us + event.timeout_us
         self.objective_at_us = min(now_us + objective_us, self.deadline_us)
         self.draws = draws
-        self.relative_cost = relative_cost  # its work as a multiple of the mean request's
-        self.is_low_priority = False  # a client's retry, or beyond its tenant's quota
-        self.is_done = False  # the final answer is given, or none is owed any more
+        self.relative_cost = relative_cost  # The work it takes, as a multiple of the mean.
+        self.is_low_priority = False  # True for a client's retry or a request beyond its tenant's quota.
+        self.is_done = False  # True when the final answer is given or none is needed any more.
         self.attempts_sent = 0
-        self.in_flight: dict[int, Attempt] = {}  # by number
-        self.may_have_run: list[Attempt] = []  # all that are not proven never to have run, oldest first
-        self.attempted: list[TrackedEndpoint] = []
-        # probing.py
-        self.candidates: tuple[TrackedEndpoint, TrackedEndpoint] | None = None  # samples that are probed
-        self.unanswered_probes: list[TrackedEndpoint] = []  # those of them whose load has not come yet
+        self.in_flight: dict[int, Attempt] = {}  # Attempts in flight, by number.
+        # Attempts that are in flight or may have run, oldest first.
+        self.may_have_run: list[Attempt] = []
+        self.attempted_endpoints: list[TrackedEndpoint] = []
+        # The following fields belong to probing.py.
+        self.candidates: tuple[TrackedEndpoint, TrackedEndpoint] | None = None  # The samples to be compared.
+        self.unanswered_probes: list[TrackedEndpoint] = []  # The candidates whose load is not known yet.
         self.probed_pair_count = 0
         self.max_probed_pairs = max_probed_pairs
--- a/nickelmount/balancer/sampling.py
+++ b/nickelmount/balancer/sampling.py
@@ -1,10 +1,13 @@
-"""Sampling: the two endpoints that are compared for an attempt, and which of them takes it.
+"""Sampling: which two endpoints are compared for an attempt, and which of them gets it.
 
 Two uniform samples are drawn with replacement among the endpoints of the subset that are eligible for the
-request; the one in the lower band of the load table wins, and a tie goes at random.
+request. The sample in the lower band of the load table gets the attempt; a tie is decided at random.
 
-An endpoint of the subset is allowed by the rules of retry.py, accepted by those of slow start and outlier
-detection, and eligible if admission finds it worth sampling as well.
+An endpoint of the subset is
+
+- allowed for a request if the rules of retry.py permit it;
+- accepted if slow start and outlier detection admit it and, with gossip, it is not silent;
+- eligible if it is allowed and accepted, and admission.py finds it worth sampling.
 """
 
 from __future__ import annotations
@@ -24,37 +27,39 @@
 
 Pair = tuple[TrackedEndpoint, TrackedEndpoint]
 
-MAX_DRAWS = 16  # until two samples are eligible
-MAX_ENDPOINTS_CHECKED = 16  # no more endpoints than this are looked at one by one
-ENDPOINTS_PER_SELECTION = 4  # a refresh over n endpoints serves n / 4 selections: its cost is shared by them
-MAX_QUIET_FACTOR = 2  # gossip: an endpoint not heard of for so many times the usual age is unresponsive
+MAX_DRAWS = 16  # Draws that are made at most to find two eligible samples.
+MAX_ENDPOINTS_CHECKED = 16  # Endpoints that are checked one by one at most.
+# A refresh over n endpoints serves n / 4 selections, so that its cost is shared by them.
+ENDPOINTS_PER_SELECTION = 4
+# With gossip, an endpoint is unresponsive if its silence lasts longer than this multiple of the usual one.
+MAX_SILENCE_FACTOR = 2
 
 
 @dataclass(slots=True, frozen=True)
 class EligibilityRules:
-    """The rules of other modules that an endpoint has to pass."""
+    """The rules of other modules that decide whether an endpoint is eligible."""
 
     admission: AdmissionControl
     outliers: OutlierDetector
     slow_start: SlowStart
     retry: RetryRules
-    is_probed: bool  # samples are asked for their load before anything is sent
-    hears_all: bool  # gossip tells of the answers of all endpoints
+    is_probed: bool  # Samples are asked for their load before a request is sent.
+    has_gossip: bool  # Other balancers report the answers that they get from any endpoint.
 
 
 class Sampler:
-    """Draws samples, and compares them."""
+    """Draws two samples for an attempt, and compares them."""
 
     def __init__(self, rules: EligibilityRules, table: LoadTable, subset: Subset, rng: Random) -> None:
         self._rules, self._table, self._subset, self._rng = rules, table, subset, rng
-        self._selections_left = 0  # that the last refresh still serves
+        self._selections_left = 0  # Selections that the last refresh still serves.
 
     def invalidate(self) -> None:
-        """Refresh before the next selection: the subset has changed."""
+        """Force a refresh before the next selection, because the subset has changed."""
         self._selections_left = 0
 
     def refresh(self, now_us: int) -> None:
-        """Compute means and cutoffs over the subset, unless the last ones still serve."""
+        """Recompute the means and cutoffs over the subset, unless the last ones serve one more selection."""
         self._selections_left -= 1
         if self._selections_left >= 0:
             return
@@ -66,46 +71,47 @@
         for endpoint in endpoints:
             endpoint.warm_share = rules.slow_start.ramp.warm_share(endpoint, now_us)
             endpoint.time_per_load_us = table.time_per_load_of(endpoint, now_us, endpoint.warm_share)
-        ranks = [table.drain_time_us(endpoint, now_us, self._rng) for endpoint in endpoints]
-        table.cutoffs = cutoffs(ranks) if ranks else []
+        backlogs_us = [table.drain_time_us(endpoint, now_us, self._rng) for endpoint in endpoints]
+        table.cutoffs = cutoffs(backlogs_us) if backlogs_us else []
 
-    def endpoints_retry_allows(self, request: Request, now_us: int) -> list[TrackedEndpoint]:
-        """Those of the subset to which the request may be sent by the rules of retry.py."""
+    def allowed_endpoints(self, request: Request, now_us: int) -> list[TrackedEndpoint]:
+        """Return the endpoints of the subset to which the rules of retry.py permit sending the request."""
         if self._rules.retry.is_unrestricted(request):
             return self._subset.endpoints
         return [e for e in self._subset.endpoints if self._rules.retry.allows(request, e, now_us)]
 
     def accepts(self, request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
-        """Whether an endpoint takes part: it is responsive, warm enough for this request, and no outlier."""
+        """Return whether an endpoint is responsive, warm enough for this request, and not an outlier."""
         rules, table = self._rules, self._table
-        if rules.hears_all and self._is_unheard_of(request, endpoint, now_us):
+        if rules.has_gossip and self._is_silent(request, endpoint, now_us):
             return False
         return rules.slow_start.admits(
             endpoint, request.draws.slow_start, rules.is_probed, table, now_us
         ) and rules.outliers.admits(endpoint, now_us, table.typical_latency_us)
 
-    def _is_unheard_of(self, request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
-        """Where gossip tells of every answer, an endpoint of which nothing is heard is unresponsive.
+    def _is_silent(self, request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
+        """Return whether gossip has not mentioned an endpoint for so long that it must be unresponsive.
 
-        Some requests still try it, by their draw; of a warming one less is heard.
+        The time is scaled by a draw of the request, so that some requests still try the endpoint, and by the
+        warm share, because a warming endpoint is mentioned less often.
         """
-        quiet_us: float = now_us - endpoint.heard_from_at_us
-        quiet_us = (
-            quiet_us * request.draws.slow_start * self._rules.slow_start.ramp.warm_share(endpoint, now_us)
+        silence_us: float = now_us - endpoint.heard_from_at_us
+        silence_us = (
+            silence_us * request.draws.slow_start * self._rules.slow_start.ramp.warm_share(endpoint, now_us)
         )
-        usual_us = max(FRESH_REPORT_US, now_us - self._table.median_heard_from_at_us)
-        return quiet_us > MAX_QUIET_FACTOR * usual_us
+        usual_silence_us = max(FRESH_REPORT_US, now_us - self._table.median_heard_from_at_us)
+        return silence_us > MAX_SILENCE_FACTOR * usual_silence_us
 
     def draw_pair(self, request: Request, allowed: list[TrackedEndpoint], now_us: int) -> Pair | None:
-        """Two uniform samples with replacement among the eligible endpoints that were not attempted yet.
+        """Draw two uniform samples with replacement among the eligible endpoints not yet attempted.
 
-        None: too few draws succeeded. Of few endpoints each is looked at before that, attempted ones
-        included.
+        If too few draws succeed, and there are few endpoints, each of them is checked; those that were
+        attempted are then included if no others are accepted. Return None if no eligible endpoint is found.
         """
         random, count = self._rng.random, len(allowed)
         admission = self._rules.admission
-        limit_us = admission.predicted_time_limit_us(request, now_us)
-        left_us = request.objective_at_us - now_us
+        time_limit_us = admission.predicted_time_limit_us(request, now_us)
+        time_to_objective_us = request.objective_at_us - now_us
         eligible: list[TrackedEndpoint] = []
         draws = 0
         max_draws = max(2, min(MAX_DRAWS, count // 2))
@@ -113,27 +119,31 @@
             endpoint = allowed[int(random() * count)]
             draws += 1
             if (
-                endpoint not in request.attempted
+                endpoint not in request.attempted_endpoints
                 and self.accepts(request, endpoint, now_us)
-                and admission.is_worth_sampling(request, endpoint, limit_us, left_us, now_us)
+                and admission.is_worth_sampling(
+                    request, endpoint, time_limit_us, time_to_objective_us, now_us
+                )
             ):
                 eligible.append(endpoint)
-        self._rules.slow_start.drew(len(eligible) / draws, draws, count, now_us)
+        self._rules.slow_start.record_draws(len(eligible) / draws, draws, count, now_us)
         if len(eligible) == 2:
             return eligible[0], eligible[1]
         if count <= MAX_ENDPOINTS_CHECKED:
             eligible = [e for e in allowed if self.accepts(request, e, now_us)]
-            eligible = [e for e in eligible if e not in request.attempted] or eligible
+            eligible = [e for e in eligible if e not in request.attempted_endpoints] or eligible
             eligible = [
-                e for e in eligible if admission.is_worth_sampling(request, e, limit_us, left_us, now_us)
+                e
+                for e in eligible
+                if admission.is_worth_sampling(request, e, time_limit_us, time_to_objective_us, now_us)
             ]
         if not eligible:
             return None
         return eligible[int(random() * len(eligible))], eligible[int(random() * len(eligible))]
 
-    def lighter(self, pair: Pair, now_us: int) -> TrackedEndpoint:
-        """The sample in the lower band."""
-        one, other = pair
+    def less_loaded(self, pair: Pair, now_us: int) -> TrackedEndpoint:
+        """Return the sample in the lower band, or either one at random if both are in the same band."""
+        first, second = pair
         table, rng = self._table, self._rng
-        load, other_load = table.drain_time_us(one, now_us, rng), table.drain_time_us(other, now_us, rng)
-        return one if takes_request(rng, table.cutoffs, load, other_load) else other
+        load, second_load = table.drain_time_us(first, now_us, rng), table.drain_time_us(second, now_us, rng)
+        return first if takes_request(rng, table.cutoffs, load, second_load) else second
--- a/nickelmount/balancer/slow_start.py
+++ b/nickelmount/balancer/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: how many requests a warming endpoint gets.
+"""Slow start: how many requests an endpoint gets while it is warming up.
 
-An endpoint that has just started bears only a part of its capacity, and fails when it gets more. Of each
-balancer's requests only a share may see it at all, drawn for each request and endpoint: in the sum over all
-balancers it gets its share, however the traffic is split between them.
+An endpoint that has just started has only a part of its capacity, and fails if it gets more. Each balancer
+admits only a share of its requests to such an endpoint, chosen at random for each request and endpoint, so
+that all balancers together send the endpoint its share, however the traffic is split between them.
 """
 
 from __future__ import annotations
@@ -15,22 +15,25 @@
 from .settings import Settings
 from .units import SECOND_US
 
-SMOOTHING = 0.1
-DRAW_RATE_WINDOW_US = SECOND_US  # draws are counted over so long, the latest ones the most
-FULL_SHARE_OVERLOAD_MULTIPLE = 4.0  # from this multiple on an endpoint gets its full share
-UNREPORTED_LOAD_SHARE = 0.5  # share of its capacity that an endpoint which reports no load may be offered
-GUARANTEE_DEVIATIONS = 3  # standard deviations of chance that are left below the overload rule
+SHARE_SMOOTHING = 0.1  # Smoothing factor of the served and the eligible share.
+DRAW_RATE_WINDOW_US = SECOND_US  # Draws are counted over about this time, with exponential decay.
+# With this overload multiple or a higher one an endpoint gets the full share of its warm-up.
+FULL_SHARE_OVERLOAD_MULTIPLE = 4.0
+# Share of its least capacity that an endpoint without load reports may always be offered.
+UNREPORTED_LOAD_SHARE = 0.5
+# Standard deviations of the number of requests that are kept as a margin below the overload limit.
+GUARANTEE_DEVIATIONS = 3
 
 
 class WarmUpRamp:
-    """The slowest warm-up that the settings allow."""
+    """The slowest warm-up that the settings allow: capacity grows linearly with the time since the start."""
 
     def __init__(self, settings: Settings) -> None:
         self.start_capacity = settings.warm_up_start_capacity
         self.duration_us = max(1, settings.warm_up_us)
 
     def warm_share(self, endpoint: TrackedEndpoint, now_us: int) -> float:
-        """The share of its capacity that an endpoint has at the least."""
+        """Return the least share of its full capacity that an endpoint has now; 1 if it is warm."""
         age_us = now_us - endpoint.started_at_us
         if not endpoint.started_at_us or age_us >= self.duration_us:
             return 1.0
@@ -38,7 +41,7 @@
 
 
 class SlowStart:
-    """Decides for each request and warming endpoint whether the one may be sent to the other."""
+    """The rules that decide whether a request may be sent to a warming endpoint."""
 
     def __init__(self, settings: Settings, ramp: WarmUpRamp, rng: Random) -> None:
         self.ramp, self._rng = ramp, rng
@@ -46,19 +49,23 @@
         self._overload_window_us = settings.overload_window_us
         self._share_scale = min(1.0, settings.overload_multiple / FULL_SHARE_OVERLOAD_MULTIPLE)
         self._reports_load = any(name in settings.load_report_fields for name in LOAD_FIELDS)
-        self.instances_per_endpoint = float(settings.instance_count)  # balancers that draw the same endpoint
-        self._served_share = 1.0  # of the latest requests
-        self._eligible_share = 1.0  # of the latest draws
-        self._draws_per_endpoint = 0.0  # within DRAW_RATE_WINDOW_US, decaying
-        self._drawn_at_us = 0
-        self._draw_rate = 0.0  # draws of any one endpoint in a microsecond, draws in a row included
-        self._even_share = 1.0  # share of the requests for each unit of warm share
+        # Number of balancers that sample the same endpoint.
+        self.instances_per_endpoint = float(settings.instance_count)
+        self._served_share = 1.0  # Moving average of the share of requests that are served.
+        self._eligible_share = 1.0  # Moving average of the share of draws that find an eligible endpoint.
+        # Draws of each endpoint by this balancer within DRAW_RATE_WINDOW_US, with exponential decay.
+        self._draws_per_endpoint = 0.0
+        self._last_draw_at_us = 0
+        # Draws of each endpoint by this balancer per microsecond; repeated draws for one attempt count too.
+        self._draw_rate = 0.0
+        # Share of requests per unit of warm share if all endpoints are to get an even share.
+        self._even_share = 1.0
 
     def refresh(self, endpoints: list[TrackedEndpoint], now_us: int) -> None:
-        """Lay the shares of the endpoints side by side.
+        """Give each endpoint an interval of the draws of requests, so that the intervals lie side by side.
 
-        Were the draws independent, a third or so of the requests of a fleet that is all warming would be
-        admitted by no endpoint.
+        With independent draws, about a third of the requests would be admitted by no endpoint while the whole
+        fleet is warming up.
         """
         warm_shares = [self.ramp.warm_share(e, now_us) for e in endpoints]
         self._even_share = 1.0 / max(1.0, sum(warm_shares), len(endpoints) / 2)
@@ -69,65 +76,71 @@
     def admits(
         self, endpoint: TrackedEndpoint, draw: float, is_probed: bool, table: LoadTable, now_us: int
     ) -> bool:
-        """Whether the request with this draw may be sent to an endpoint.
+        """Return whether the request with this draw may be sent to an endpoint.
 
-        1. To a warm endpoint, any request.
-        2. However often an endpoint is drawn, it may be offered what it surely works off, by a new draw each
-           time. Rule 3 alone would leave most endpoints idle when many requests are rejected.
-        3. Else the requests whose draw falls into its share, beside those of the other endpoints.
+        1. A warm endpoint admits any request.
+        2. If the rate that an endpoint can surely work off is a larger share of its draws than rule 3 gives
+           it, it admits that share, by a new draw each time. With rule 3 alone most endpoints would be idle
+           while many requests are rejected.
+        3. Otherwise it admits the requests whose draw falls into its interval.
 
-        `is_probed`: the endpoint is asked for its load before anything is sent.
+        `is_probed` says that the endpoint is asked for its load before a request is sent.
         """
         if not endpoint.started_at_us:
             return True
         warm_share = self.ramp.warm_share(endpoint, now_us)
         if warm_share >= 1.0:
             return True
-        # A small machine fails the sooner, so its share is smaller.
+        # A smaller machine fails at a lower load, so its share is smaller.
         capacity = table.relative_capacity(endpoint)
         share = capacity * self._request_share(is_probed)
         draw_rate = warm_share * self.instances_per_endpoint * self._draw_rate
         if table.time_per_load_us and draw_rate:
             service_rate = capacity * warm_share / table.time_per_load_us
-            guaranteed = self._guaranteed_rate(service_rate) / draw_rate
-            if guaranteed > share:
-                return self._rng.random() < warm_share * guaranteed
+            guaranteed_share = self._guaranteed_rate(service_rate) / draw_rate
+            if guaranteed_share > share:
+                return self._rng.random() < warm_share * guaranteed_share
         return (draw - endpoint.draw_offset) % 1.0 < warm_share * share
 
     def _request_share(self, is_probed: bool) -> float:
-        """The share of requests that an endpoint of mean capacity may see, as a multiple of its warm share.
+        """Return the share of requests for an endpoint of mean capacity, as a multiple of its warm share.
 
-        By what is served, not by what is asked for, and no more because few other endpoints are eligible:
-        retries of an overloaded fleet would overload it. But no less than an even share: a fleet that rejects
-        would give restarted endpoints nothing, and so reject on. Not needed where it is probed.
+        The share follows the requests that are served, not those that arrive, and it does not grow when few
+        other endpoints are eligible, because otherwise the retries of an overloaded fleet would overload the
+        endpoint. It is at least an even share, because otherwise a fleet that rejects would send restarted
+        endpoints nothing, and would go on rejecting. None of this is needed if the endpoint is probed.
         """
         if is_probed:
             return self._share_scale
         return max(self._share_scale * self._served_share * self._eligible_share, self._even_share)
 
     def _guaranteed_rate(self, service_rate: float) -> float:
-        """What an endpoint that works off so much at the least may be offered, both per microsecond.
+        """Return the rate that an endpoint of at least this service rate may be offered, per microsecond.
 
-        Where it reports what it holds, as much as the overload rule bears with three deviations of chance to
-        spare: ramps are faster than the slowest, and the load table sees the rest.
+        For an endpoint that reports its load, this is the highest rate whose arrivals in an overload window
+        stay within the overload limit with a margin of three standard deviations. More than the service rate
+        is possible because real warm-ups are faster than the slowest one, and the load table shows the rest.
         """
         if not self._reports_load:
             return UNREPORTED_LOAD_SHARE * service_rate
         limit = self._overload_multiple * service_rate * self._overload_window_us
-        # Of x requests in the mean, at most x + GUARANTEE_DEVIATIONS * sqrt(x) arrive: that is to be the
-        # limit.
+        # If x requests arrive on average, at most x + GUARANTEE_DEVIATIONS * sqrt(x) arrive in a window. This
+        # solves for the x at which that equals the limit.
         half = GUARANTEE_DEVIATIONS / 2
         mean = (sqrt(limit + half * half) - half) ** 2
         return mean / self._overload_window_us
 
-    def drew(self, eligible_share: float, draws: int, endpoint_count: int, now_us: int) -> None:
-        """Count the draws for one attempt, among so many endpoints, and how many of them were eligible."""
-        self._eligible_share += SMOOTHING * (eligible_share - self._eligible_share)
-        decay = exp((self._drawn_at_us - now_us) / DRAW_RATE_WINDOW_US)
+    def record_draws(self, eligible_share: float, draws: int, endpoint_count: int, now_us: int) -> None:
+        """Record the draws made for one attempt among `endpoint_count` endpoints.
+
+        `eligible_share` is the share of these draws that found an eligible endpoint.
+        """
+        self._eligible_share += SHARE_SMOOTHING * (eligible_share - self._eligible_share)
+        decay = exp((self._last_draw_at_us - now_us) / DRAW_RATE_WINDOW_US)
         self._draws_per_endpoint = self._draws_per_endpoint * decay + draws / endpoint_count
-        self._drawn_at_us = now_us
+        self._last_draw_at_us = now_us
         self._draw_rate = self._draws_per_endpoint / DRAW_RATE_WINDOW_US
 
-    def request_ended(self, is_served: bool) -> None:
-        """Count a final answer."""
-        self._served_share += SMOOTHING * (is_served - self._served_share)
+    def record_final_answer(self, is_served: bool) -> None:
+        """Record whether a request was served or got a rejection or a failure."""
+        self._served_share += SHARE_SMOOTHING * (is_served - self._served_share)
