--- a/tests/balancer_driver.py
+++ b/tests/balancer_driver.py
@@ -1,4 +1,4 @@
-"""Drives one balancer in tests: no clock, no network."""
+"""A driver that runs one balancer in tests, without a clock or a network."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 MAY_HAVE_RUN_OUTCOMES = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET]
 NEVER_RAN_OUTCOMES = [Outcome.REJECTED, Outcome.CONNECT_FAILED]
-INFLIGHT = ("inflight",)  # fields of a load report
+INFLIGHT = ("inflight",)  # Settings.load_report_fields of an endpoint that only reports its load.
 
 
 def class_with_key(dedup_scope: DedupScope, dedup_window_us: int = SECOND) -> RequestClass:
@@ -33,7 +33,7 @@
 
 
 class BalancerDriver:
-    """One balancer with its clock, its pending timers and the actions it has returned."""
+    """One balancer with its clock in us, its pending timers, and all actions that it has returned."""
 
     def __init__(
         self,
@@ -47,9 +47,9 @@
         self.balancer = Balancer(self.settings, seed)
         self.now = SECOND
         self.actions: list[Action] = []
-        self.timers: list[tuple[int, int]] = []
-        self.request_count = 0
-        self.latest_attempts: dict[int, int] = {}
+        self.timers: list[tuple[int, int]] = []  # The time at which each one fires, and its token.
+        self.request_count = 0  # Also the id of the latest request.
+        self.latest_attempts: dict[int, int] = {}  # The number of the latest attempt, by request id.
         self.initial_endpoints = [Endpoint(f"s{i}", zone=i % 2, cell=i % 3) for i in range(endpoint_count)]
         self.event(EndpointsChanged(ListUpdateKind.CACHED, list(self.initial_endpoints)))
 
@@ -64,6 +64,7 @@
         return actions
 
     def request(self, timeout_us: int = SECOND, tenant: int = 0) -> tuple[int, list[Action]]:
+        """Let a request of the first class arrive; return its id and the balancer's actions."""
         self.request_count += 1
         return self.request_count, self.event(RequestArrived(self.request_count, 0, timeout_us, tenant))
 
@@ -75,35 +76,38 @@
         attempt: int | None = None,
         load_report: tuple[float, ...] = (),
     ) -> list[Action]:
-        n = self.latest_attempts[send.request_id] if attempt is None else attempt
-        done = outcome is Outcome.OK
+        """End the latest attempt of the request that was sent, or the attempt with this number."""
+        number = self.latest_attempts[send.request_id] if attempt is None else attempt
+        finished = outcome is Outcome.OK
         return self.event(
-            AttemptEnded(send.request_id, n, send.endpoint_id, outcome, latency_us, done, load_report)
+            AttemptEnded(
+                send.request_id, number, send.endpoint_id, outcome, latency_us, finished, load_report
+            )
         )
 
     def advance(self, us: int) -> list[Action]:
-        """Let time pass, firing the timers that fall due on the way."""
-        until, out = self.now + us, []
+        """Let time pass, and fire the timers that become due meanwhile."""
+        until, actions = self.now + us, []
         while True:
             due = sorted(t for t in self.timers if t[0] <= until)
             if not due:
                 break
             self.timers.remove(due[0])
             self.now = max(self.now, due[0][0])
-            out += self.event(TimerFired(due[0][1]))
+            actions += self.event(TimerFired(due[0][1]))
         self.now = until
-        return out
+        return actions
 
     def serve(self, count: int, latency_us: int = 20 * MS) -> None:
-        """Let some requests be answered, so that the table knows its servers."""
+        """Answer some requests one after another, so that the load table knows the endpoints."""
         for _ in range(count):
             _, actions = self.request()
             for s in of_type(actions, SendAttempt):
                 self.end_attempt(s, Outcome.OK, latency_us)
             self.advance(latency_us)
 
-    def update_list(self, *backends: Endpoint, kind: ListUpdateKind = ListUpdateKind.DELTA) -> list[Action]:
-        return self.event(EndpointsChanged(kind, list(backends)))
+    def update_list(self, *endpoints: Endpoint, kind: ListUpdateKind = ListUpdateKind.DELTA) -> list[Action]:
+        return self.event(EndpointsChanged(kind, list(endpoints)))
 
 
 def of_type(actions: list[Action], kind: type[ActionType]) -> list[ActionType]:
@@ -117,7 +121,7 @@
 
 
 def serve_with_load_reports(driver: BalancerDriver, count: int, reported_load: float = 1.0) -> None:
-    """So many requests answered at once, each answer reporting what the endpoint holds."""
+    """Answer requests at once, with answers that all report this load of the endpoint."""
     for _ in range(count):
         for s in of_type(driver.request()[1], SendAttempt):
             driver.end_attempt(
@@ -127,14 +131,15 @@
 
 
 def send_and_answer(driver: BalancerDriver, count: int) -> list[object]:
-    out: list[object] = []
+    """Answer requests at once; return the ids of the endpoints to which they were sent."""
+    endpoint_ids: list[object] = []
     for _ in range(count):
         for s in of_type(driver.request()[1], SendAttempt):
-            out.append(s.endpoint_id)
+            endpoint_ids.append(s.endpoint_id)
             driver.end_attempt(s, Outcome.OK, 20 * MS, load_report=(1.0,))
-    return out
+    return endpoint_ids
 
 
 def serve_with_overload_reports(driver: BalancerDriver, count: int) -> None:
-    """Answers, each of which reports an endpoint that is far too full."""
+    """Answer requests at once, with answers that all report an overloaded endpoint."""
     serve_with_load_reports(driver, count, reported_load=30.0)
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""The way of a request: one final answer, whatever comes."""
+"""The balancer gives each request exactly one final answer, whatever happens to its attempts."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 )
 
 
-@pytest.mark.parametrize("cls", [IDEMPOTENT, NON_IDEMPOTENT])
-def test_without_endpoints_a_request_waits_and_is_rejected_before_its_objective(cls: Any) -> None:
-    driver = BalancerDriver(cls, endpoint_count=0)
+@pytest.mark.parametrize("request_class", [IDEMPOTENT, NON_IDEMPOTENT])
+def test_without_endpoints_a_request_waits_and_is_rejected_before_its_objective(request_class: Any) -> None:
+    driver = BalancerDriver(request_class, endpoint_count=0)
     request, actions = driver.request()
     assert not of_type(actions, SendAttempt)
     assert not of_type(actions, RejectRequest)
-    later = driver.advance(500 * MS)
-    assert [a.request_id for a in of_type(later, RejectRequest)] == [request]
-    assert not of_type(later, FailRequest)
+    later_actions = driver.advance(500 * MS)
+    assert [a.request_id for a in of_type(later_actions, RejectRequest)] == [request]
+    assert not of_type(later_actions, FailRequest)
 
 
 def test_a_waiting_request_goes_to_the_first_endpoint_listed() -> None:
@@ -42,7 +42,7 @@
     assert [s.endpoint_id for s in of_type(driver.advance(100 * MS), SendAttempt)] == ["late"]
 
 
-def test_the_only_endpoint_is_used_though_it_fails() -> None:
+def test_the_only_endpoint_is_used_even_if_it_fails() -> None:
     driver = BalancerDriver(endpoint_count=1)
     for _ in range(6):
         _, actions = driver.request()
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    ("event", "named"),
+    ("event", "field"),
     [
         (RequestArrived(9, 1, SECOND), "request_class"),
         (RequestArrived(9, -1, SECOND), "request_class"),
@@ -61,19 +61,19 @@
         (RequestArrived(1, 0, SECOND), "request"),
     ],
 )
-def test_a_request_that_makes_no_sense_is_named(event: RequestArrived, named: str) -> None:
+def test_an_invalid_request_raises_an_error_that_names_the_field(event: RequestArrived, field: str) -> None:
     driver = BalancerDriver()
     driver.request()
-    with pytest.raises(ValueError, match=named):
+    with pytest.raises(ValueError, match=field):
         driver.event(event)
 
 
-def test_what_is_no_event_is_named() -> None:
+def test_an_object_that_is_not_an_event_raises_an_error_that_names_its_type() -> None:
     with pytest.raises(TypeError, match="str is not an event"):
         BalancerDriver().event("gone")  # type: ignore[arg-type]
 
 
-def test_events_of_a_finished_request_are_passed_over() -> None:
+def test_events_of_a_finished_request_are_ignored() -> None:
     driver = BalancerDriver()
     send = of_type(driver.request()[1], SendAttempt)[0]
     driver.end_attempt(send, Outcome.OK)
@@ -82,10 +82,10 @@
     assert not driver.event(TimerFired(5))
 
 
-@pytest.mark.parametrize("cls", [IDEMPOTENT, NON_IDEMPOTENT, class_with_key(DedupScope.CELL)])
+@pytest.mark.parametrize("request_class", [IDEMPOTENT, NON_IDEMPOTENT, class_with_key(DedupScope.CELL)])
 @pytest.mark.parametrize("outcome", [*MAY_HAVE_RUN_OUTCOMES, *NEVER_RAN_OUTCOMES])
-def test_one_final_answer_when_every_attempt_fails(cls: RequestClass, outcome: Outcome) -> None:
-    driver = BalancerDriver(cls, max_attempts=3)
+def test_one_final_answer_when_every_attempt_fails(request_class: RequestClass, outcome: Outcome) -> None:
+    driver = BalancerDriver(request_class, max_attempts=3)
     request, actions = driver.request()
     pending = of_type(actions, SendAttempt)
     for _ in range(20):
@@ -98,7 +98,7 @@
     assert len([a for a in driver.actions if isinstance(a, SendAttempt)]) <= 3
 
 
-def test_a_timeout_at_the_clients_time_is_answered_at_once() -> None:
+def test_a_request_is_answered_at_once_if_its_attempt_ends_at_the_clients_timeout() -> None:
     driver = BalancerDriver()
     request, actions = driver.request(timeout_us=300 * MS)
     send = of_type(actions, SendAttempt)[0]
@@ -108,7 +108,7 @@
     assert len(final_answers(driver, request)) == 1
 
 
-def test_no_time_left_is_answered_at_once() -> None:
+def test_a_request_without_time_left_is_answered_at_once() -> None:
     driver = BalancerDriver()
     request, actions = driver.request(timeout_us=0)
     assert len(final_answers(driver, request)) == 1
@@ -124,5 +124,6 @@
     driver.advance(2 * SECOND)
     assert not final_answers(driver, request)
     assert len(of_type(driver.actions, SendAttempt)) == 1
-    driver.event(ClientDisconnected(request))  # known no more: ignored
+    # The request is forgotten by now, so that further events of it are ignored.
+    driver.event(ClientDisconnected(request))
     driver.end_attempt(send, Outcome.ERROR)
--- a/tests/test_sampling.py
+++ b/tests/test_sampling.py
@@ -1,4 +1,4 @@
-"""Sampling: what a selection costs."""
+"""Sampling: the cost of a selection."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 
 def test_a_selection_costs_the_same_in_a_large_fleet() -> None:
-    # i39cc3d: 60 endpoints, 950 requests a second: a look at all endpoints for each took more CPU than
-    # allowed.
+    # Issue i39cc3d: with 60 endpoints and 950 requests per second, checking all endpoints for each request
+    # took more CPU time than allowed.
     driver = BalancerDriver(endpoint_count=320)
-    driver.serve(400, MS)  # so many requests that it samples among all
-    looks, draws = [], []
+    driver.serve(400, MS)  # With this much traffic all endpoints are sampled.
+    refreshed, checked = [], []
     sampler, table = driver.balancer.sampler, driver.balancer.table
     refresh_means, accepts = table.refresh_means, sampler.accepts
 
-    def record_look(endpoints: list[TrackedEndpoint], now_us: int) -> None:
-        looks.extend(endpoints)
+    def record_refresh(endpoints: list[TrackedEndpoint], now_us: int) -> None:
+        refreshed.extend(endpoints)
         refresh_means(endpoints, now_us)
 
-    def record_draw(request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
-        draws.append(endpoint)
+    def record_check(request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
+        checked.append(endpoint)
         return accepts(request, endpoint, now_us)
 
-    table.refresh_means = record_look  # type: ignore[method-assign]
-    sampler.accepts = record_draw  # type: ignore[method-assign]
+    table.refresh_means = record_refresh  # type: ignore[method-assign]
+    sampler.accepts = record_check  # type: ignore[method-assign]
     sends = [s for _ in range(160) for s in of_type(driver.request()[1], SendAttempt)]
     assert len(sends) == 160
-    assert len(looks) <= 2 * 320
-    assert len(draws) <= 3 * 160
+    assert len(refreshed) <= 2 * 320
+    assert len(checked) <= 3 * 160
     for send in sends[:20]:
         driver.update_list(Endpoint(send.endpoint_id, EndpointStatus.DRAINING))
-    drained = {send.endpoint_id for send in sends[:20]}
-    assert not drained & {
+    draining = {send.endpoint_id for send in sends[:20]}
+    assert not draining & {
         s.endpoint_id for _ in range(200) for s in of_type(driver.request()[1], SendAttempt)
     }
