--- a/nickelmount/balancer/admission.py
+++ b/nickelmount/balancer/admission.py
@@ -115,7 +115,7 @@
             / TRAFFIC_WINDOW_US
             * PREDICTED_TIME_SHARE
             * self._shortest_objective_us
-            * subset.capacity_left
+            * subset.remaining_capacity_share
             * min(1.0, MAX_IN_FLIGHT_PER_ENDPOINT / (table.mean_load + 1.0))
         )
         limit = max(even_share, by_traffic)
@@ -150,7 +150,7 @@
 
         It is infinite until the first answer.
         """
-        if not self._table.time_per_load_us:
+        if not self._table.mean_service_time_us:
             return float("inf")
         share = LOW_PRIORITY_TIME_SHARE if request.is_low_priority else PREDICTED_TIME_SHARE
         latency_limit_us = self._latency_limits_us[request.request_class.name]
@@ -169,27 +169,27 @@
         `time_limit_us` is the result of predicted_time_limit_us().
         """
         table = self._table
-        cost, time_per_load_us = request.relative_cost, endpoint.time_per_load_us
+        cost, service_time_us = request.relative_cost, endpoint.service_time_us
         # A heavy request that not even an idle endpoint can answer in time is not sent, because it would take
         # capacity from many others. While most endpoints are idle it takes little, and it may be sent
         # because cost hints are rough.
         is_feasible = (
-            cost <= 1.0 or cost * time_per_load_us * min(1.0, table.mean_load) <= time_to_objective_us
+            cost <= 1.0 or cost * service_time_us * min(1.0, table.mean_load) <= time_to_objective_us
         )
-        if now_us - endpoint.load_reported_at_us <= self._max_known_load_age_us:
+        if now_us - endpoint.load_updated_at_us <= self._max_known_load_age_us:
             # The load is known, so there is nothing to explore. The predicted time of an idle endpoint does
             # not matter.
             load = endpoint.own_in_flight(now_us) + table.estimated_other_in_flight(endpoint, now_us)
             if load < 1.0:
                 return is_feasible
-            return (load + cost) * time_per_load_us <= time_limit_us + self._late_allowance_us(request)
+            return (load + cost) * service_time_us <= time_limit_us + self._late_allowance_us(request)
         own_in_flight = endpoint.own_in_flight(now_us)
         other_in_flight = table.estimated_other_in_flight(endpoint, now_us)
         if self._can_explore(request, endpoint, own_in_flight):
             return is_feasible
         if own_in_flight + other_in_flight >= MAX_IN_FLIGHT_PER_ENDPOINT:
             return False
-        predicted_us = (own_in_flight + other_in_flight + cost) * time_per_load_us
+        predicted_us = (own_in_flight + other_in_flight + cost) * service_time_us
         if predicted_us <= time_limit_us:
             return True
         # While this balancer has few attempts at the endpoint, the answer may take until the objective.
@@ -213,5 +213,7 @@
         """
         if own_in_flight >= min(1.0, self._exploration_limit):
             return False
-        may_explore = request.draws.exploration <= self._exploration_limit * self._subset.ready_per_sampled
+        may_explore = (
+            request.draws.exploration <= self._exploration_limit * self._subset.ready_to_subset_ratio
+        )
         return may_explore or endpoint.warm_share < 1.0
--- a/nickelmount/balancer/sampling.py
+++ b/nickelmount/balancer/sampling.py
@@ -70,8 +70,8 @@
         rules.slow_start.refresh(endpoints, now_us)
         for endpoint in endpoints:
             endpoint.warm_share = rules.slow_start.ramp.warm_share(endpoint, now_us)
-            endpoint.time_per_load_us = table.time_per_load_of(endpoint, now_us, endpoint.warm_share)
-        backlogs_us = [table.drain_time_us(endpoint, now_us, self._rng) for endpoint in endpoints]
+            endpoint.service_time_us = table.estimate_service_time_us(endpoint, now_us, endpoint.warm_share)
+        backlogs_us = [table.backlog_time_us(endpoint, now_us, self._rng) for endpoint in endpoints]
         table.cutoffs = cutoffs(backlogs_us) if backlogs_us else []
 
     def allowed_endpoints(self, request: Request, now_us: int) -> list[TrackedEndpoint]:
@@ -95,11 +95,11 @@
         The time is scaled by a draw of the request, so that some requests still try the endpoint, and by the
         warm share, because a warming endpoint is mentioned less often.
         """
-        silence_us: float = now_us - endpoint.heard_from_at_us
+        silence_us: float = now_us - endpoint.last_report_at_us
         silence_us = (
             silence_us * request.draws.slow_start * self._rules.slow_start.ramp.warm_share(endpoint, now_us)
         )
-        usual_silence_us = max(FRESH_REPORT_US, now_us - self._table.median_heard_from_at_us)
+        usual_silence_us = max(FRESH_REPORT_US, now_us - self._table.median_last_report_at_us)
         return silence_us > MAX_SILENCE_FACTOR * usual_silence_us
 
     def draw_pair(self, request: Request, allowed: list[TrackedEndpoint], now_us: int) -> Pair | None:
@@ -145,5 +145,8 @@
         """Return the sample in the lower band, or either one at random if both are in the same band."""
         first, second = pair
         table, rng = self._table, self._rng
-        load, second_load = table.drain_time_us(first, now_us, rng), table.drain_time_us(second, now_us, rng)
+        load, second_load = (
+            table.backlog_time_us(first, now_us, rng),
+            table.backlog_time_us(second, now_us, rng),
+        )
         return first if takes_request(rng, table.cutoffs, load, second_load) else second
--- a/nickelmount/balancer/slow_start.py
+++ b/nickelmount/balancer/slow_start.py
@@ -48,7 +48,7 @@
         self._overload_multiple = settings.overload_multiple
         self._overload_window_us = settings.overload_window_us
         self._share_scale = min(1.0, settings.overload_multiple / FULL_SHARE_OVERLOAD_MULTIPLE)
-        self._reports_load = any(name in settings.load_report_fields for name in LOAD_FIELDS)
+        self._has_load_reports = any(name in settings.load_report_fields for name in LOAD_FIELDS)
         # Number of balancers that sample the same endpoint.
         self.instances_per_endpoint = float(settings.instance_count)
         self._served_share = 1.0  # Moving average of the share of requests that are served.
@@ -95,8 +95,8 @@
         capacity = table.relative_capacity(endpoint)
         share = capacity * self._request_share(is_probed)
         draw_rate = warm_share * self.instances_per_endpoint * self._draw_rate
-        if table.time_per_load_us and draw_rate:
-            service_rate = capacity * warm_share / table.time_per_load_us
+        if table.mean_service_time_us and draw_rate:
+            service_rate = capacity * warm_share / table.mean_service_time_us
             guaranteed_share = self._guaranteed_rate(service_rate) / draw_rate
             if guaranteed_share > share:
                 return self._rng.random() < warm_share * guaranteed_share
@@ -121,7 +121,7 @@
         stay within the overload limit with a margin of three standard deviations. More than the service rate
         is possible because real warm-ups are faster than the slowest one, and the load table shows the rest.
         """
-        if not self._reports_load:
+        if not self._has_load_reports:
             return UNREPORTED_LOAD_SHARE * service_rate
         limit = self._overload_multiple * service_rate * self._overload_window_us
         # If x requests arrive on average, at most x + GUARANTEE_DEVIATIONS * sqrt(x) arrive in a window. This
