--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what all balancers together send to an endpoint that has just started, by the overload rule."""
+"""Slow start: all balancers together keep to the overload rule at an endpoint that has just started."""
 
 from __future__ import annotations
 
@@ -38,18 +38,21 @@
 )
 
 MACHINES, RESTARTED = 40, 6
-RATE_PER_S = 20.0  # of a machine with speed 1
-BURST, QUIET = 1.6, 0.6  # requests, as a multiple of what all machines can do
+RATE_PER_S = 20.0  # Requests of mean work that a machine of speed 1 serves per second.
+BURST, QUIET = 1.6, 0.6  # Rate of requests, as a multiple of the capacity of all machines.
 START_CAPACITY, WARM_UP_US, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_US = 0.15, 20 * SECOND, 2.5, 2 * SECOND
 BEGIN_US, RESTART_US, END_US = SECOND, 5 * SECOND, 11 * SECOND
 WORK = RequestClass("work", 500 * MS, 2 * SECOND, Idempotency.NEVER)
 
 
 class Machine:
-    """An endpoint: one core, requests one after another. By the slowest ramp that the settings allow."""
+    """An endpoint with one core, which serves requests one after another.
+
+    It warms up as slowly as the settings allow.
+    """
 
     def __init__(self, rate_per_s: float) -> None:
-        self.rate_per_s = rate_per_s  # requests of mean work, when warm
+        self.rate_per_s = rate_per_s  # Requests of mean work that it serves per second when it is warm.
         self.started_at_us = 0
         self.free_at_us, self.in_flight = 0.0, 0
         self.arrived_at_us: list[int] = []
@@ -65,40 +68,41 @@
         self.arrived_at_us.clear()
 
     def accept(self, now_us: int, work: float) -> int:
-        """When a request that arrives now is done."""
+        """Take in a request that arrives now; return the time at which it is done."""
         self.arrived_at_us.append(now_us)
         self.in_flight += 1
-        begun_us = max(float(now_us), self.free_at_us)
-        self.free_at_us = begun_us + work * SECOND / (self.rate_per_s * self.warm_share(begun_us))
+        started_us = max(float(now_us), self.free_at_us)
+        self.free_at_us = started_us + work * SECOND / (self.rate_per_s * self.warm_share(started_us))
         return int(self.free_at_us)
 
-    def fullest_window(self) -> float:
-        """The most that arrived in any window, as a share of what the overload rule bears then."""
-        fullest = 0.0
+    def peak_window_load(self) -> float:
+        """Return the most arrivals in any overload window, as a share of what the overload rule allows."""
+        peak = 0.0
         for i, at_us in enumerate(self.arrived_at_us):
-            # By what it can do at the beginning of the window, the least that it can in all of it.
+            # The capacity at the beginning of the window is the least that the machine has during it.
             capacity = self.rate_per_s * self.warm_share(at_us) * OVERLOAD_WINDOW_US / SECOND
             allowed = OVERLOAD_MULTIPLE * capacity
-            inside = bisect_left(self.arrived_at_us, at_us + OVERLOAD_WINDOW_US) - i
-            fullest = max(fullest, inside / (allowed + 2 * sqrt(allowed) + 2))
-        return fullest
+            arrivals = bisect_left(self.arrived_at_us, at_us + OVERLOAD_WINDOW_US) - i
+            peak = max(peak, arrivals / (allowed + 2 * sqrt(allowed) + 2))
+        return peak
 
 
 class BurstAtRestart:
-    """Some machines of a fleet restart under a burst, and each balancer is notified at once.
+    """A simulation in which some machines restart during a burst, and all balancers are notified at once.
 
-    Speeds are in turn those of the machines; half of those that restart have the first. A tenth of the
-    balancers have ten times the traffic of the others, and the burst is more than all machines can do.
+    `speeds` are given to the machines in turn, and half of the machines that restart have the first speed. A
+    tenth of the balancers has ten times the traffic of the others. The burst exceeds the capacity of all
+    machines.
     """
 
     def __init__(
-        self, instance_count: int, seed: int, speeds: tuple[float, ...], hinted: bool, probes: bool
+        self, instance_count: int, seed: int, speeds: tuple[float, ...], has_hints: bool, can_probe: bool
     ) -> None:
         self.rng = rng = Random(seed)
         self.machines = [Machine(RATE_PER_S * speeds[i % len(speeds)]) for i in range(MACHINES)]
         self.capacity_per_s = sum(machine.rate_per_s for machine in self.machines)
         self.entries = [
-            Endpoint(i, capacity_hint=machine.rate_per_s / RATE_PER_S if hinted else 1.0)
+            Endpoint(i, capacity_hint=machine.rate_per_s / RATE_PER_S if has_hints else 1.0)
             for i, machine in enumerate(self.machines)
         ]
         settings = Settings(
@@ -107,8 +111,8 @@
             load_report_fields=("inflight",),
             tick_us=MS,
             can_hedge=False,
-            can_probe=probes,
-            has_capacity_hints=hinted,
+            can_probe=can_probe,
+            has_capacity_hints=has_hints,
             warm_up_start_capacity=START_CAPACITY,
             warm_up_us=WARM_UP_US,
             overload_multiple=OVERLOAD_MULTIPLE,
@@ -116,18 +120,17 @@
         )
         self.balancers = [Balancer(settings, rng.getrandbits(32)) for _ in range(instance_count)]
         self.traffic = [10.0 if i % 10 == 0 else 1.0 for i in range(instance_count)]
-        self.events: list[
-            tuple[int, int, int, Event]
-        ] = []  # a heap by time, then by number; for which balancer
+        # A heap of events: time in us, number of the action that caused it, index of the balancer, event.
+        self.events: list[tuple[int, int, int, Event]] = []
         self.action_count = 0
         self.has_restarted = False
-        slow = [*range(RESTARTED // 2 * len(speeds))][:: len(speeds)]
+        first_speed = [*range(RESTARTED // 2 * len(speeds))][:: len(speeds)]
         self.restarted: list[int] = []
         self.notify_all(BEGIN_US, ListUpdateKind.CACHED, self.entries)
-        self.restarted = slow + rng.sample(range(MACHINES), RESTARTED // 2)
+        self.restarted = first_speed + rng.sample(range(MACHINES), RESTARTED // 2)
 
     def run(self) -> tuple[float, int]:
-        """The fullest window of any restarted machine, and how many requests they got."""
+        """Run the simulation; return the restarted machines' peak window load and number of requests."""
         now_us, requests = BEGIN_US, 0
         while now_us < END_US:
             load = BURST if now_us >= RESTART_US - SECOND else QUIET
@@ -139,7 +142,7 @@
             (receiver,) = self.rng.choices(range(len(self.balancers)), self.traffic)
             self.handle(receiver, now_us, RequestArrived(requests, 0, 2 * SECOND))
         restarted = [self.machines[i] for i in self.restarted]
-        return max(m.fullest_window() for m in restarted), sum(len(m.arrived_at_us) for m in restarted)
+        return max(m.peak_window_load() for m in restarted), sum(len(m.arrived_at_us) for m in restarted)
 
     def restart_machines(self, now_us: int) -> None:
         self.has_restarted = True
@@ -200,7 +203,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize(
-    ("instance_count", "speeds", "hinted", "probes"),
+    ("instance_count", "speeds", "has_hints", "can_probe"),
     [
         (3, UNEVEN, True, False),
         (30, UNEVEN, True, False),
@@ -211,37 +214,38 @@
     ],
 )
 def test_all_balancers_together_do_not_overload_a_restarted_machine_however_small(
-    instance_count: int, speeds: tuple[float, ...], hinted: bool, probes: bool, seed: int
+    instance_count: int, speeds: tuple[float, ...], has_hints: bool, can_probe: bool, seed: int
 ) -> None:
-    # Of thirty balancers and more each offered a small machine what one of mean size bears: together up to
-    # twice what the small one could take.
-    fullest, received = BurstAtRestart(instance_count, seed, speeds, hinted, probes).run()
-    assert fullest <= 1.0, fullest
+    # Thirty or more balancers each offered a small machine what a machine of mean size bears, which was up to
+    # twice as many requests as the small one could take.
+    peak, received = BurstAtRestart(instance_count, seed, speeds, has_hints, can_probe).run()
+    assert peak <= 1.0, peak
     assert received >= 40, received
 
 
-@pytest.mark.parametrize("parts", [(25, 25, 25, 25), (97, 1, 1, 1)])
-def test_all_balancers_together_keep_to_the_overload_rule(parts: tuple[int, ...]) -> None:
-    # Ten endpoints, 1000 requests a second in all: a warm one takes 100 a second, taken to be nearly full.
-    start, window = 0.15, 2
-    fleet = [
+@pytest.mark.parametrize("percentages", [(25, 25, 25, 25), (97, 1, 1, 1)])
+def test_all_balancers_together_keep_to_the_overload_rule(percentages: tuple[int, ...]) -> None:
+    # Ten endpoints get 1000 requests per second in total. A warm one gets 100 per second, which is taken to
+    # be almost its capacity.
+    start_capacity, window_s = 0.15, 2
+    drivers = [
         BalancerDriver(
             endpoint_count=9,
             seed=i,
             instance_count=4,
-            warm_up_start_capacity=start,
+            warm_up_start_capacity=start_capacity,
             warm_up_us=20 * SECOND,
-            overload_window_us=window * SECOND,
+            overload_window_us=window_s * SECOND,
         )
-        for i in range(len(parts))
+        for i in range(len(percentages))
     ]
-    for driver in fleet:
+    for driver in drivers:
         driver.update_list(Endpoint("new", started_at_us=driver.now))
     sent_at_us = []
     for second in range(6):
-        for driver, part in zip(fleet, parts, strict=True):
-            for _ in range(part * 10):
-                driver.now += SECOND // (part * 10)
+        for driver, percentage in zip(drivers, percentages, strict=True):
+            for _ in range(percentage * 10):
+                driver.now += SECOND // (percentage * 10)
                 for s in of_type(driver.request()[1], SendAttempt):
                     if s.endpoint_id == "new":
                         sent_at_us.append(driver.now - SECOND)
@@ -249,14 +253,17 @@
             driver.now = (second + 2) * SECOND
     sent_at_us.sort()
     for at_us in sent_at_us:
-        capacity = 100 * (start + (1 - start) * at_us / (20 * SECOND))
-        inside = sum(at_us <= t < at_us + window * SECOND for t in sent_at_us)
-        assert inside <= 3 * capacity * window
-    assert len(sent_at_us) > 20  # it does get work
+        capacity_per_s = 100 * (start_capacity + (1 - start_capacity) * at_us / (20 * SECOND))
+        sent_in_window = sum(at_us <= t < at_us + window_s * SECOND for t in sent_at_us)
+        assert sent_in_window <= 3 * capacity_per_s * window_s
+    assert len(sent_at_us) > 20  # The new endpoint is not left idle.
 
 
-def sent_to_a_new_endpoint(seed: int, **settings: Any) -> list[int]:
-    """When a request is sent to an endpoint that starts while all others are overloaded, in ten seconds."""
+def send_times_to_a_new_endpoint(seed: int, **settings: Any) -> list[int]:
+    """Return the times in us at which requests are sent to an endpoint in its first ten seconds.
+
+    All other endpoints are overloaded meanwhile.
+    """
     driver = BalancerDriver(
         NON_IDEMPOTENT,
         endpoint_count=20,
@@ -282,16 +289,19 @@
     return sent_at_us
 
 
-def test_a_warming_endpoint_gets_what_it_can_do_while_all_others_reject() -> None:
-    # After a release most of a fleet is warming: its share of what was served was next to nothing.
-    sent = sum(len(sent_to_a_new_endpoint(seed)) for seed in range(4))  # of all balancers together
-    # In these ten seconds it can do some 100 at the least; the overload rule bears thrice that.
+def test_a_warming_endpoint_gets_what_it_can_work_off_while_all_others_are_overloaded() -> None:
+    # After a release most of a fleet is warming up, and an endpoint's share of the requests that were served
+    # was next to nothing.
+    sent = sum(len(send_times_to_a_new_endpoint(seed)) for seed in range(4))  # By all balancers together.
+    # In these ten seconds it can work off at least about 100 requests. The overload rule allows three times
+    # as many.
     assert 50 <= sent <= 200
 
 
 def test_warming_endpoints_get_their_share_from_the_few_balancers_that_sample_them() -> None:
-    # Each endpoint is drawn by a tenth of the balancers: counted as drawn by all it got less than its part.
-    cold, got = {f"s{i}" for i in range(85)}, 0
+    # Each endpoint is sampled by a tenth of the balancers. When it was counted as sampled by all of them, it
+    # got less than its share.
+    warming_ids, sent = {f"s{i}" for i in range(85)}, 0
     for seed in range(6):
         driver = BalancerDriver(
             NON_IDEMPOTENT,
@@ -307,28 +317,28 @@
         driver.update_list(*[Endpoint(f"s{i}", started_at_us=driver.now) for i in range(85)])
         for _ in range(300):
             for s in of_type(driver.request()[1], SendAttempt):
-                held = 0.0 if s.endpoint_id in cold else 30.0
-                got += s.endpoint_id in cold
-                driver.end_attempt(s, Outcome.OK, int(20 * MS * max(1.0, held)), load_report=(held,))
+                load = 0.0 if s.endpoint_id in warming_ids else 30.0
+                sent += s.endpoint_id in warming_ids
+                driver.end_attempt(s, Outcome.OK, int(20 * MS * max(1.0, load)), load_report=(load,))
             driver.advance(100 * MS)
-    assert got >= 185
+    assert sent >= 185
 
 
-def test_warming_endpoints_are_offered_what_the_overload_rule_surely_bears() -> None:
-    # Half of what an endpoint could do at the least left seventy warming ones idle while the warm ones were
-    # overloaded.
+def test_warming_endpoints_are_offered_what_the_overload_rule_surely_allows() -> None:
+    # When warming endpoints were offered half of their least capacity, seventy of them were idle while the
+    # warm ones were overloaded.
     multiple, window_us = 3.0, 2 * SECOND
     settings = {"overload_multiple": multiple, "overload_window_us": window_us}
-    sent_at_us = sorted(at for seed in range(4) for at in sent_to_a_new_endpoint(seed, **settings))
-    # Fifty a second warm, and a fifth of that at first.
+    sent_at_us = sorted(at for seed in range(4) for at in send_times_to_a_new_endpoint(seed, **settings))
+    # An endpoint serves 50 requests per second when it is warm, and a fifth of that at first.
     assert len(sent_at_us) >= 100
-    most = max(sum(at <= other < at + window_us for other in sent_at_us) for at in sent_at_us)
-    assert most <= multiple * 0.2 * 50 * window_us / SECOND
+    peak = max(sum(at <= other < at + window_us for other in sent_at_us) for at in sent_at_us)
+    assert peak <= multiple * 0.2 * 50 * window_us / SECOND
 
 
 def test_many_balancers_with_little_traffic_use_a_warming_endpoint() -> None:
-    # ibarra big-2: with whole credits, earned at 1/n a request, no quiet balancer ever sent to a warming
-    # endpoint.
+    # When a balancer among n earned 1/n of a credit per request and a send cost a whole one, no balancer with
+    # little traffic ever sent a request to a warming endpoint.
     sent = 0
     for seed in range(400):
         driver = BalancerDriver(
@@ -341,10 +351,11 @@
         )
         driver.update_list(Endpoint("new", started_at_us=driver.now))
         sent += of_type(driver.request()[1], SendAttempt)[0].endpoint_id == "new"
-    assert 10 <= sent <= 40  # of 400, with a tenth of the fleet at half its strength
+    # 400 requests were sent, and the new endpoint is a tenth of the fleet, at half of its capacity.
+    assert 10 <= sent <= 40
 
 
-def test_a_waiting_request_does_not_draw_until_a_warming_endpoint_takes_it() -> None:
+def test_a_waiting_request_does_not_draw_again_until_a_warming_endpoint_admits_it() -> None:
     sent = 0
     for seed in range(100):
         driver = BalancerDriver(
@@ -360,8 +371,8 @@
 
 
 def test_an_overloaded_fleet_does_not_overload_a_warming_endpoint() -> None:
-    # bajio overload: three times the traffic it could serve came back as retries, and the warming endpoint
-    # was the only one that looked light: it was sent 6.8 times what it could do.
+    # Clients sent three times the traffic that the fleet could serve as retries. Only the warming endpoint
+    # seemed to have a low load, and it was sent 6.8 times what it could work off.
     sent = {}
     for is_served in (True, False):
         sent[is_served] = 0
@@ -386,37 +397,37 @@
     assert 2 * sent[False] <= sent[True]
 
 
-def test_restarted_endpoints_get_their_share_though_the_rest_reject() -> None:
-    # Three of nine came back warming. As the six rejected, the share of requests that might see a warming one
-    # went to nothing; the three stood idle, and so the six rejected for as long as the day went on.
+def test_restarted_endpoints_get_their_share_while_the_others_are_full() -> None:
+    # Three of nine endpoints restarted. Because the other six rejected requests, the share of requests that
+    # the warming ones admitted fell to almost nothing. They stayed idle, and so the six kept rejecting.
     driver = BalancerDriver(
         endpoint_count=6, instance_count=2, warm_up_start_capacity=0.5, warm_up_us=1000 * SECOND
     )
     driver.serve(30)
     for _ in range(100):
-        driver.request()  # none is answered: the six are full
+        driver.request()  # No request is answered, so that the six endpoints are full.
         driver.advance(MS)
-    cold = [Endpoint(f"new{i}", started_at_us=driver.now) for i in range(3)]
-    driver.update_list(*cold)
-    asked, sent = 200, dict.fromkeys((b.id for b in cold), 0)
-    for _ in range(asked):
+    restarted = [Endpoint(f"new{i}", started_at_us=driver.now) for i in range(3)]
+    driver.update_list(*restarted)
+    request_count, sent = 200, dict.fromkeys((e.id for e in restarted), 0)
+    for _ in range(request_count):
         for s in of_type(driver.request()[1] + driver.advance(MS), SendAttempt):
             if s.endpoint_id in sent:
                 sent[s.endpoint_id] += 1
                 driver.end_attempt(s, Outcome.OK)
-    # A part of nine each, at half their strength, but for some margin; and no more than that.
-    assert all(3 <= n <= asked / 9 for n in sent.values())
+    # Each gets at most a ninth of the requests. At half of its capacity, and with some margin, it gets less.
+    assert all(3 <= n <= request_count / 9 for n in sent.values())
 
 
-def test_a_fleet_that_is_warming_as_a_whole_is_not_starved() -> None:
-    # A rolling release leaves no endpoint warm. With draws apart and a margin off each part, half of all
-    # requests saw no endpoint at all, however idle the fleet was.
+def test_a_fleet_that_is_warming_up_as_a_whole_is_not_starved() -> None:
+    # A rolling release leaves no endpoint warm. With independent draws and a margin taken off each share,
+    # half of all requests were admitted by no endpoint, however idle the fleet was.
     driver = BalancerDriver(
         endpoint_count=0, instance_count=2, warm_up_start_capacity=0.5, warm_up_us=1000 * SECOND
     )
     driver.update_list(*[Endpoint(f"new{i}", started_at_us=driver.now) for i in range(10)])
     for _ in range(100):
-        driver.request()  # all that can be held is held
+        driver.request()  # No request is answered, so that the endpoints become full.
         driver.advance(MS)
     for s in of_type(list(driver.actions), SendAttempt):
         driver.end_attempt(s, Outcome.OK)
