--- a/nickelmount/balancer/actions.py
+++ b/nickelmount/balancer/actions.py
@@ -1,4 +1,4 @@
-"""The actions that Balancer.handle returns, to be carried out in order.
+"""The actions that Balancer.handle returns; the caller must carry them out in order.
 
 All times are integer microseconds.
 """
@@ -12,36 +12,40 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Start an attempt; it ends as TIMEOUT after timeout_us. Its one AttemptEnded always comes."""
+    """Start an attempt, which ends with outcome TIMEOUT after timeout_us.
+
+    The caller must pass in exactly one AttemptEnded for each attempt.
+    """
 
     request_id: int
     endpoint_id: EndpointId
     timeout_us: int
-    attempt: int = 0  # as AttemptEnded counts them
-    # Attempts of this request whose last byte is not written within this time end as NOT_SENT, this one and
-    # earlier ones in flight: a connection may come up long after the choice, when the window in which a
-    # repeat is dropped is over. 0: no limit.
+    attempt: int = 0  # Number of the attempt within its request, as in AttemptEnded.
+    # Time in which the last byte of the request must be written; 0 if there is no limit. It applies to this
+    # attempt and to earlier ones of the request that are in flight; those that miss it end with outcome
+    # NOT_SENT. A connection may come up long after the endpoint was chosen, when the dedup window, in which
+    # endpoints drop repeats, is over.
     write_within_us: int = 0
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: rejected; trying again is harmless."""
+    """Give the final answer "rejected", which promises that a retry by the client is harmless."""
 
     request_id: int
-    retry_after_us: int = 0  # when to come again; 0: no advice
+    retry_after_us: int = 0  # Delay after which the client should retry; 0 for no advice.
 
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed; no promise about effects."""
+    """Give the final answer "failed": the request may or may not have taken effect."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt; its AttemptEnded still comes."""
+    """Cancel an attempt; its AttemptEnded must still be passed in."""
 
     request_id: int
     attempt: int
@@ -49,7 +53,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Hand in TimerFired(token) after delay_us. Timers are never revoked."""
+    """Pass in TimerFired(token) after delay_us. Timers are never cancelled."""
 
     delay_us: int
     token: int
@@ -57,32 +61,32 @@
 
 @dataclass(slots=True)
 class SendProbe:
-    """Ask an endpoint for its load; ProbeEnded follows."""
+    """Ask an endpoint for its load, and pass in ProbeEnded when the probe has ended."""
 
     endpoint_id: EndpointId
 
 
 @dataclass(slots=True)
 class SendGossip:
-    """Send a message of at most 256 bytes to one other balancer; it may be lost."""
+    """Send a message of at most 256 bytes to another balancer; it may be lost."""
 
-    receiver: int  # its instance index
+    receiver: int  # Instance index of the balancer that gets the message.
     payload: bytes
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Subscribe to changes of the endpoint list; exactly one EndpointsChanged answers the call."""
+    """Subscribe to changes of the endpoint list; exactly one EndpointsChanged answers this action."""
 
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    """Ask once for the complete endpoint list."""
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(slots=True)
 class LogMessage:
-    """A rare line for the operators: endpoint, change of state, reason."""
+    """Log a line for the operators: an endpoint, its change of state, and the reason. Such lines are rare."""
 
     text: str
 
--- a/nickelmount/balancer/endpoint.py
+++ b/nickelmount/balancer/endpoint.py
@@ -1,4 +1,4 @@
-"""What one balancer knows of one endpoint."""
+"""The state that a balancer keeps for each endpoint."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 if TYPE_CHECKING:
     from .request import Request
 
-MIN_CAPACITY_HINT = 1e-6  # a hint is divided by
-DEFAULT_PENALTY_FADE_US = SECOND_US
+MIN_CAPACITY_HINT = 1e-6  # Above 0, because other values are divided by a capacity hint.
+MAX_PENALTY_HALVING_US = SECOND_US
 
 
 def printable_id(endpoint_id: EndpointId) -> str:
-    """An endpoint's id as log lines and gossip have it."""
+    """Return an endpoint's id as text for log lines and for its gossip tag."""
     return endpoint_id.hex() if isinstance(endpoint_id, bytes) else str(endpoint_id)
 
 
 def gossip_tag(endpoint_id: EndpointId) -> int:
-    """The number that stands for an endpoint in gossip, 32 bits."""
+    """Return the 32-bit number that identifies an endpoint in gossip messages."""
     return crc32(printable_id(endpoint_id).encode())
 
 
 class TrackedEndpoint:
-    """The state of one endpoint. Each group of fields belongs to the module named above it."""
+    """The state of one endpoint. Each group of fields is maintained by the module named above it."""
 
     __slots__ = (
         "capacity_hint",
@@ -49,7 +49,7 @@
         "other_in_flight",
         "penalty",
         "penalty_at_us",
-        "penalty_fade_us",
+        "penalty_halving_us",
         "probe_sent_at_us",
         "probe_waiters",
         "reported_service_ms",
@@ -65,54 +65,54 @@
 
     def __init__(self, entry: Endpoint, now_us: int, order: float) -> None:
         self.id = entry.id
-        self.in_flight: dict[
-            tuple[int, int], int
-        ] = {}  # own attempts by request and number: when each was sent
+        # The times at which this balancer sent its attempts in flight, by request id and attempt number.
+        self.in_flight: dict[tuple[int, int], int] = {}
         # endpoint_set.py
-        self.order = order  # its place among all
-        self.is_ready = False  # whether it is among those that may be sampled
-        self.warming_since_us = 0  # the start under which warming_endpoints.py has it; 0: it has not
+        self.order = order  # Sort key in the list of ready endpoints.
+        self.is_ready = False  # The endpoint is in the list of ready endpoints.
+        # The start time under which warming_endpoints.py lists the endpoint; 0 if it does not list it.
+        self.warming_since_us = 0
         # probing.py
-        self.probe_sent_at_us = 0  # of the probe in flight; 0: there is none
-        self.probe_waiters: list[Request] = []  # requests that wait for its end
+        self.probe_sent_at_us = 0  # Time at which the probe in flight was sent; 0 if there is none.
+        self.probe_waiters: list[Request] = []  # Requests that wait for the end of that probe.
         # slow_start.py
-        self.draw_offset = 0.0  # where its share of the draws begins
+        self.draw_offset = 0.0  # Start of the interval of random draws that the endpoint admits.
         self.update(entry)
         self.reset(now_us)
 
     def update(self, entry: Endpoint) -> None:
-        """Take over what the list says."""
+        """Copy the values of an entry of the endpoint list."""
         self.zone, self.cell, self.status = entry.zone, entry.cell, entry.status
         self.capacity_hint = max(entry.capacity_hint, MIN_CAPACITY_HINT)
         self.started_at_us = entry.started_at_us
 
     def reset(self, now_us: int) -> None:
-        """Forget what was learned of an earlier process under the same id."""
+        """Reset everything that was learned about an earlier process under the same id."""
         # load_table.py
-        self.last_report_at_us = now_us  # when anything was last heard of it
-        self.service_time_us = 1.0  # as of the last refresh of the table
-        self.warm_share = 1.0  # share of its capacity that it has, as of the same time
-        self.penalty = 0.0  # weight of attempts that ended badly, as of penalty_at_us
+        self.last_report_at_us = now_us  # Time of the last report, probe or gossip about its load.
+        self.service_time_us = 1.0  # Estimate for one request, as of the last refresh of the load table.
+        self.warm_share = 1.0  # Share of its capacity that it has warmed up to, as of the same refresh.
+        self.penalty = 0.0  # Weight of failed attempts at penalty_at_us, counted like attempts in flight.
         self.penalty_at_us = 0
-        self.penalty_fade_us = DEFAULT_PENALTY_FADE_US  # after this long half of it is left
-        self.other_in_flight = 0.0  # of all other balancers, by the last load report
-        self.load_updated_at_us = 0  # 0: never
-        self.reported_service_ms = 0.0  # reported service time, smoothed; 0: none was reported
-        self.latency_us = 0.0  # of its answers, smoothed
-        self.load_at_send = 0.0  # what it held when these were sent, smoothed
-        self.sample_count = 0  # answers in these two
+        self.penalty_halving_us = MAX_PENALTY_HALVING_US  # Time after which half of the penalty is left.
+        self.other_in_flight = 0.0  # Estimated attempts of all other balancers at load_updated_at_us.
+        self.load_updated_at_us = 0  # Time at which other_in_flight was last set; 0 if it never was.
+        self.reported_service_ms = 0.0  # Moving average of reported service times; 0 if there were none.
+        self.latency_us = 0.0  # Moving average of the latency of its answers and long timeouts.
+        self.load_at_send = 0.0  # Moving average of its load when those attempts were sent.
+        self.sample_count = 0  # Number of samples in the averages latency_us and load_at_send.
         self.last_success_at_us = 0
         self.last_attempt_ended_at_us = 0
         # outlier_detection.py
-        self.failure_rate = 0.0  # of attempts, smoothed
-        self.failure_streak = 0  # failures since the last success
+        self.failure_rate = 0.0  # Moving average of the share of attempts that fail.
+        self.failure_streak = 0  # Number of failures since the last success.
         self.ejected_until_us = 0
-        self.ejection_us = 0  # length of the last ejection; 0: none, or readmitted in full
-        self.trial_limit = 0  # attempts that may be in flight while it is readmitted; 0: no limit
+        self.ejection_us = 0  # Duration of the last ejection; 0 if there was none since full readmission.
+        self.trial_limit = 0  # Limit on attempts in flight during readmission; 0 if there is no limit.
 
     def own_in_flight(self, now_us: int) -> float:
-        """Own attempts in flight, and what is left of the weight of those that ended badly."""
-        penalty = self.penalty and self.penalty * self.penalty_fade_us / (
-            self.penalty_fade_us + now_us - self.penalty_at_us
+        """Return the number of this balancer's attempts in flight, plus what is left of the penalty."""
+        penalty = self.penalty and self.penalty * self.penalty_halving_us / (
+            self.penalty_halving_us + now_us - self.penalty_at_us
         )
         return len(self.in_flight) + penalty
--- a/nickelmount/balancer/events.py
+++ b/nickelmount/balancer/events.py
@@ -1,7 +1,7 @@
-"""The events that a caller hands to Balancer.handle, in the order in which they happened.
+"""The events that a caller passes to Balancer.handle, in the order in which they happened.
 
-All times are integer microseconds on one monotonic clock that the caller passes in. An endpoint id may be any
-hashable value; it is handed back unmodified.
+All times are integer microseconds. Points in time are on one monotonic clock, which the caller reads and
+passes to the balancer. An endpoint id may be any hashable value; actions return it unmodified.
 """
 
 from __future__ import annotations
@@ -14,53 +14,59 @@
 
 
 class EndpointStatus(Enum):
-    """What the list says of an endpoint."""
+    """The status of an endpoint in the endpoint list."""
 
-    READY = "ready"
-    DRAINING = "draining"  # finishes what it has, and is to get nothing new
-    REMOVED = "removed"
+    READY = "ready"  # The endpoint takes new requests.
+    DRAINING = "draining"  # The endpoint finishes its current requests and must get no new ones.
+    REMOVED = "removed"  # The endpoint is no longer listed.
 
 
 class ListUpdateKind(Enum):
-    """How a list update changes what is known."""
+    """The kind of an endpoint list update."""
 
-    CACHED = "cached"  # the complete list as last held, perhaps stale; the first event of a balancer
-    FULL = "full"  # the complete list; what it does not name is removed
-    DELTA = "delta"  # only the entries that changed
-    FAILED = "failed"  # a watch or a fetch failed, or the watch broke
+    # The complete list as it was last known, which may be stale. It is the first event of a balancer.
+    CACHED = "cached"
+    FULL = "full"  # The complete list: endpoints that it does not contain are removed.
+    DELTA = "delta"  # Only the entries that have changed.
+    FAILED = "failed"  # A watch or a fetch could not be made, or an open watch broke.
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """The outcome of an attempt or a probe, and whether the endpoint may have run the request."""
 
-    OK = "ok"
-    ERROR = "error"  # the endpoint said so; may have run
-    REJECTED = "rejected"  # turned away by the endpoint; never ran
-    TIMEOUT = "timeout"  # no answer in time; may have run or still run
-    CONNECT_FAILED = "connect_failed"  # not connected, or lost before the last byte was written; never ran
-    RESET = "reset"  # the connection broke; may have run
-    CANCELLED = "cancelled"  # may have run or still run
-    NOT_SENT = "not_sent"  # never left this process; never ran
+    OK = "ok"  # The endpoint answered with a result.
+    ERROR = "error"  # The endpoint answered with an error. The request may have run.
+    REJECTED = "rejected"  # The endpoint rejected the request, which never ran.
+    TIMEOUT = "timeout"  # No answer came in time. The request may have run or may still be running.
+    # No connection came up, or it broke before the last byte was written. The request never ran.
+    CONNECT_FAILED = "connect_failed"
+    RESET = "reset"  # The connection broke. The request may have run.
+    CANCELLED = "cancelled"  # The balancer cancelled it. The request may have run or may still be running.
+    NOT_SENT = "not_sent"  # The request never left this process, so it never ran.
 
 
+# The outcomes after which the endpoint certainly did not run the request.
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One entry of the endpoint list."""
+    """An entry of the endpoint list."""
 
     id: EndpointId
     status: EndpointStatus = EndpointStatus.READY
     zone: int = 0
     cell: int = 0
-    capacity_hint: float = 1.0  # rough, relative to other endpoints
-    started_at_us: int = 0  # clock time of its latest start; 0: long past
+    capacity_hint: float = 1.0  # Approximate capacity relative to other endpoints.
+    started_at_us: int = 0  # Time of the latest start of its process; 0 if it started long ago.
 
 
 @dataclass(slots=True)
 class EndpointsChanged:
-    """The endpoint list, or changes to it. The first event of a balancer is of kind CACHED, if only empty."""
+    """The endpoint list, or changes to it.
+
+    The first event of a balancer must be of kind CACHED, with no endpoints if none are known.
+    """
 
     kind: ListUpdateKind
     endpoints: list[Endpoint]
@@ -68,19 +74,19 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A request is now this balancer's; it must get one final answer before timeout_us is up."""
+    """A new request, which must get exactly one final answer within timeout_us."""
 
     request_id: int
-    request_class: int  # index into Settings.classes
-    timeout_us: int  # how long the client waits from now
-    tenant: int = 0  # index into Settings.tenants
-    cost_us: int = 0  # rough work on a standard core; 0: unknown
-    is_retry: bool = False  # the client asked before and was rejected or not answered
+    request_class: int  # Index into Settings.classes.
+    timeout_us: int  # The time that the client waits from now on.
+    tenant: int = 0  # Index into Settings.tenants.
+    cost_us: int = 0  # Approximate processing time on a standard core; 0 if unknown.
+    is_retry: bool = False  # An earlier request of the client was rejected or not answered.
 
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A streamed answer began; the attempt now belongs to the client."""
+    """The start of a streamed response to an attempt, which is passed on to the client from now on."""
 
     request_id: int
     attempt: int
@@ -88,46 +94,46 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one end of an attempt."""
+    """The end of an attempt; each attempt has exactly one."""
 
     request_id: int
-    attempt: int  # attempts of a request count 0, 1, 2 ... in the order of its SendAttempt actions
+    attempt: int  # Attempts of a request are numbered 0, 1, 2 ... in the order of its SendAttempt actions.
     endpoint_id: EndpointId
     outcome: Outcome
     latency_us: int
-    finished: bool  # the client has its answer and nothing more is owed
-    load_report: tuple[float, ...] = ()  # by Settings.load_report_fields; (): none came along
+    finished: bool  # The client has its final answer, so the balancer must not give one.
+    load_report: tuple[float, ...] = ()  # In the order of Settings.load_report_fields; () if there is none.
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client left; nothing more is owed."""
+    """The client has disconnected, so the request needs no final answer."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """The delay of a SetTimer action is over."""
+    """The delay of a SetTimer action has elapsed."""
 
     token: int
 
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """The one end of a probe."""
+    """The end of a probe; each probe has exactly one."""
 
     endpoint_id: EndpointId
     outcome: Outcome
     latency_us: int
-    load_report: tuple[float, ...] = ()  # by Settings.load_report_fields
+    load_report: tuple[float, ...] = ()  # In the order of Settings.load_report_fields; () if there is none.
 
 
 @dataclass(slots=True)
 class GossipReceived:
-    """A message of another balancer; it may be late or wrong."""
+    """A gossip message from another balancer; it may be late or wrong."""
 
-    sender: int  # its instance index
+    sender: int  # Instance index of the balancer that sent the message.
     payload: bytes
 
 
--- a/nickelmount/balancer/load_table.py
+++ b/nickelmount/balancer/load_table.py
@@ -8,7 +8,7 @@
 
 from random import Random
 
-from .endpoint import DEFAULT_PENALTY_FADE_US, TrackedEndpoint
+from .endpoint import MAX_PENALTY_HALVING_US, TrackedEndpoint
 from .events import AttemptEnded, Outcome
 from .settings import Settings
 from .units import SECOND_US
@@ -206,5 +206,5 @@
         # One that was reset or cancelled is worked off there like any other.
         is_broken = outcome in (Outcome.RESET, Outcome.CANCELLED)
         latencies = BROKEN_PENALTY_LATENCIES if is_broken else FAILURE_PENALTY_LATENCIES
-        fade_us = int(latencies * self.typical_latency_us) or DEFAULT_PENALTY_FADE_US
-        endpoint.penalty_fade_us = min(DEFAULT_PENALTY_FADE_US, fade_us)
+        fade_us = int(latencies * self.typical_latency_us) or MAX_PENALTY_HALVING_US
+        endpoint.penalty_halving_us = min(MAX_PENALTY_HALVING_US, fade_us)
