--- a/nickelmount/balancer/feedback.py
+++ b/nickelmount/balancer/feedback.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches, and what is gossiped of it."""
+"""Feedback from attempts that have ended, to the load table, outlier detection, quotas and gossip."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AttemptFeedback:
-    """Passes the end of an attempt to all that learn from it."""
+    """The distribution of each attempt's result to the modules that use it."""
 
     def __init__(
         self,
@@ -28,19 +28,19 @@
         self._gossip, self._emit = gossip, emit
 
     def learn(self, event: AttemptEnded, attempt: Attempt, now_us: int) -> None:
-        """Learn from an attempt that is no longer in flight: load and speed, failures, share of traffic."""
+        """Update load, speed, failures and traffic share from an attempt that is no longer in flight."""
         endpoint, table = attempt.endpoint, self._table
         table.record_attempt_end(endpoint, event, attempt.load_at_send, now_us)
-        self._pass_on(event, attempt)
-        # A timeout or a reset counts against an endpoint only if it has answered nothing since: else it is
-        # late, or the connection broke and not the process.
-        is_late = event.outcome in (Outcome.TIMEOUT, Outcome.RESET)
-        if not is_late or endpoint.last_success_at_us <= attempt.sent_at_us:
+        self._gossip_load(event, attempt)
+        # A timeout or a reset counts as a failure only if the endpoint has answered nothing since the attempt
+        # was sent. Otherwise the process works: it is only late, or only the connection broke.
+        is_inconclusive = event.outcome in (Outcome.TIMEOUT, Outcome.RESET)
+        if not is_inconclusive or endpoint.last_success_at_us <= attempt.sent_at_us:
             self._outliers.attempt_ended(endpoint, event.outcome, now_us)
         self._quotas.learn_traffic_share(len(endpoint.in_flight) + 1, max(0.0, endpoint.other_in_flight))
 
-    def _pass_on(self, event: AttemptEnded, attempt: Attempt) -> None:
-        """Tell other balancers the load that an answer reported."""
+    def _gossip_load(self, event: AttemptEnded, attempt: Attempt) -> None:
+        """Send the load that an answer reported to other balancers, without the attempt that has ended."""
         column = self._table.load_column
         if self._gossip.is_enabled and event.outcome is Outcome.OK and len(event.load_report) > column:
             for message in self._gossip.messages(attempt.endpoint, event.load_report[column] - 1):
--- a/nickelmount/balancer/gossip.py
+++ b/nickelmount/balancer/gossip.py
@@ -1,7 +1,7 @@
-"""Gossip: each load report is passed on to some other balancers, which may be lost, late or wrong.
+"""Gossip: passing each load report on to some other balancers.
 
-A message is the tag of an endpoint, what it holds, and its service time in milliseconds. It sets entries of
-the load table and nothing else.
+A message consists of the gossip tag of an endpoint, its load in requests and its service time in
+milliseconds. Messages may be lost, late or wrong, so they change values of the load table and nothing else.
 """
 
 from __future__ import annotations
@@ -17,45 +17,54 @@
 from .settings import Settings
 from .units import SECOND_US
 
-MESSAGE = Struct(">IHH")
+MESSAGE = Struct(">IHH")  # The gossip tag, the load and the service time.
 MAX_UINT16 = 0xFFFF
-PRICED_BYTES = 256  # the price of gossip is for so many
-MAX_SPENDING = 0.005  # share of the weight of all requests that gossip may cost
-FRESH_GOSSIP_US = 5 * SECOND_US  # a load that was heard of so recently is known, not guessed
-MAX_FANOUT = 32  # balancers that are told of each report
+PRICED_BYTES = 256  # Number of bytes to which Prices.gossip refers.
+MAX_COST_SHARE = 0.005  # Gossip may cost at most this share of the weight of all requests.
+# A load that was reported within this time counts as known, not as estimated.
+FRESH_GOSSIP_US = 5 * SECOND_US
+MAX_FANOUT = 32  # Maximum number of balancers to which each report is sent.
 
 
 class Gossip:
-    """Sends and takes in the messages of this balancer."""
+    """The sending and receiving of this balancer's gossip messages."""
 
     def __init__(self, settings: Settings, table: LoadTable, rng: Random) -> None:
         self._table, self._rng = table, rng
         self._instance_count = settings.instance_count
         self._instance_index = settings.instance_index
-        self.fanout = 0  # balancers that are told of each report; 0: gossip is not allowed, or does not pay
+        # Number of balancers to which each report is sent; 0 if gossip is not allowed or costs too much.
+        self.fanout = 0
         if settings.can_gossip and table.has_load_reports:
             price = settings.prices.gossip
-            affordable = int(MAX_SPENDING * PRICED_BYTES / (price * MESSAGE.size)) if price else MAX_FANOUT
+            affordable = int(MAX_COST_SHARE * PRICED_BYTES / (price * MESSAGE.size)) if price else MAX_FANOUT
             self.fanout = min(settings.instance_count - 1, MAX_FANOUT, affordable)
 
     @property
     def is_enabled(self) -> bool:
-        """Whether load reports are passed on at all."""
+        """Whether load reports are passed on to any other balancer."""
         return self.fanout > 0
 
     def messages(self, endpoint: TrackedEndpoint, load: float) -> list[SendGossip]:
-        """Tell some balancers, drawn each time, what an endpoint has reported; fewer while all are idle."""
-        fields = (max(0, min(MAX_UINT16, round(x))) for x in (load, endpoint.reported_service_ms))
-        payload = MESSAGE.pack(gossip_tag(endpoint.id), *fields)
+        """Return messages with the reported load and service time of an endpoint, to random balancers.
+
+        While the mean load of the endpoints is below 2, fewer messages than the fanout are sent.
+        """
+        values = (max(0, min(MAX_UINT16, round(x))) for x in (load, endpoint.reported_service_ms))
+        payload = MESSAGE.pack(gossip_tag(endpoint.id), *values)
         count = round(self.fanout * min(1.0, self._table.mean_load / 2))
-        return [SendGossip(self._draw_receiver(), payload) for _ in range(count)]
+        return [SendGossip(self._random_receiver(), payload) for _ in range(count)]
 
-    def _draw_receiver(self) -> int:
-        drawn = int(self._rng.random() * (self._instance_count - 1))
-        return drawn + (drawn >= self._instance_index)
+    def _random_receiver(self) -> int:
+        """Return the instance index of another balancer."""
+        index = int(self._rng.random() * (self._instance_count - 1))
+        return index + (index >= self._instance_index)
 
     def receive(self, event: GossipReceived, endpoints: EndpointSet, now_us: int) -> None:
-        """Take in a message; one of another form, or on an unknown endpoint, is passed over."""
+        """Record the load and service time from a message.
+
+        A message of the wrong length or about an unknown endpoint is ignored.
+        """
         if len(event.payload) != MESSAGE.size:
             return
         tag, load, service_ms = MESSAGE.unpack(event.payload)
--- a/nickelmount/balancer/probing.py
+++ b/nickelmount/balancer/probing.py
@@ -1,7 +1,7 @@
-"""Probing: both samples of a request are asked for their load before they are compared, where that is cheap.
+"""Probing: asking both sampled endpoints for their load before they are compared, if that is cheap.
 
-A balancer with little traffic hears from each endpoint so rarely that, by its load table alone, two samples
-are no better than one.
+A balancer with little traffic gets load reports from each endpoint so rarely that, with its load table alone,
+comparing two samples is no better than taking one at random.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 from .request import Request
 from .settings import Settings
 
-MAX_SPENDING = 0.01  # share of the weight of all requests that probing both samples of each may cost
-MAX_AGE_OBJECTIVE_SHARE = (
-    0.05  # a probe may take, and a load may be old, this share of the shortest objective
-)
-MAX_PROBED_PAIRS = 4  # pairs that are probed for a request before it waits or is given up
+# Probing both samples of every request may cost at most this share of the weight of all requests.
+MAX_COST_SHARE = 0.01
+# Maximum duration of a probe and maximum age of a known load, as a share of the shortest latency objective.
+MAX_AGE_OBJECTIVE_SHARE = 0.05
+MAX_PROBED_PAIRS = 4  # Pairs of samples that are probed for a request before it waits or is finished.
 
 
 class Probing:
-    """Which endpoints are probed for a request, and which requests wait for a probe."""
+    """The choice of endpoints to probe for a request, and the requests that wait for a probe."""
 
     def __init__(self, settings: Settings, table: LoadTable) -> None:
         self.is_enabled = (
-            settings.can_probe and table.has_load_reports and 2 * settings.prices.probe <= MAX_SPENDING
+            settings.can_probe and table.has_load_reports and 2 * settings.prices.probe <= MAX_COST_SHARE
         )
         shortest_objective_us = min(c.latency_objective_us for c in settings.classes)
         self.max_load_age_us = int(MAX_AGE_OBJECTIVE_SHARE * shortest_objective_us)
@@ -33,10 +33,10 @@
     def begin(
         self, request: Request, pair: tuple[TrackedEndpoint, TrackedEndpoint], now_us: int
     ) -> list[TrackedEndpoint]:
-        """Let a request wait for the load of both samples; return those that are to be probed now.
+        """Let a request wait for the load of both samples, and return the endpoints to probe now.
 
-        A sample whose load is known, or whose probe is in flight for another request, is not probed again.
-        Nothing needs to be waited for where request.unanswered_probes is empty.
+        A sample is not probed again if its load is known, or if a probe for another request is in flight. The
+        request needs to wait only if request.unanswered_probes is not empty.
         """
         request.candidates = pair
         request.unanswered_probes = []
@@ -55,18 +55,20 @@
         return to_probe
 
     def end_probe(self, endpoint: TrackedEndpoint, has_load: bool) -> Iterator[Request]:
-        """End the probe of an endpoint; yield the requests whose samples can be compared now.
+        """End the probe of an endpoint, and yield the requests whose samples can be compared now.
 
-        A request is compared when both loads have come, or when one of the probes has failed. One that waits
-        twice, since it has drawn the same endpoint again, is looked at again after its first comparison.
+        The samples of a request can be compared when both loads are known, or when one of the probes has
+        failed. A request that has drawn the same endpoint again waits twice for its probe; it is checked
+        again after its first comparison.
         """
         endpoint.probe_sent_at_us = 0
         waiters, endpoint.probe_waiters = endpoint.probe_waiters, []
         for request in waiters:
-            if self._is_settled(request, endpoint, has_load):
+            if self._record_probe_end(request, endpoint, has_load):
                 yield request
 
-    def _is_settled(self, request: Request, endpoint: TrackedEndpoint, has_load: bool) -> bool:
+    def _record_probe_end(self, request: Request, endpoint: TrackedEndpoint, has_load: bool) -> bool:
+        """Record the end of a probe for a request, and return whether its samples can be compared now."""
         if request.candidates is None or request.is_done or endpoint not in request.unanswered_probes:
             return False
         if has_load:
@@ -74,5 +76,5 @@
         return not request.unanswered_probes or not has_load
 
     def allow_more_pairs(self, request: Request) -> None:
-        """Allow as many pairs again for a request that waits for a place."""
+        """Allow MAX_PROBED_PAIRS more pairs for a request that waits for a busy endpoint."""
         request.max_probed_pairs = request.probed_pairs + MAX_PROBED_PAIRS
--- a/nickelmount/balancer/timers.py
+++ b/nickelmount/balancer/timers.py
@@ -1,4 +1,4 @@
-"""Delayed calls, on the one timer that a caller of the balancer has to keep."""
+"""Delayed calls, for which the caller of the balancer has to keep timers."""
 
 from __future__ import annotations
 
@@ -10,27 +10,29 @@
 
 
 class TimerQueue:
-    """Calls that are due later. Emits SetTimer whenever the earliest one moves forward."""
+    """A queue of delayed calls. It emits SetTimer when a call is due earlier than the earliest timer."""
 
     def __init__(self, emit: Callable[[Action], None]) -> None:
         self._emit = emit
-        self._calls: list[tuple[int, int, Callable[[Any], None], Any]] = []  # a heap by time, then by number
+        # A heap of calls with their time, sequence number and argument, ordered by time and then by number.
+        self._calls: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self._scheduled_count = 0
-        self.armed_at_us = 0  # the earliest timer that is set, which is also its token; 0: none
+        # Time at which the earliest pending timer fires, which is also its token; 0 if none is pending.
+        self.armed_at_us = 0
 
     @property
     def next_at_us(self) -> int:
-        """When the earliest call is due; 0: there is none."""
+        """The time at which the earliest call is due; 0 if there is none."""
         return self._calls[0][0] if self._calls else 0
 
     def schedule(self, now_us: int, at_us: int, call: Callable[[Any], None], argument: Any) -> None:
-        """Call with this argument at `at_us`, or at once after now."""
+        """Schedule a call with the given argument at `at_us`, but at least 1 us from now."""
         self._scheduled_count += 1
         heappush(self._calls, (max(at_us, now_us + 1), self._scheduled_count, call, argument))
         self._arm(now_us)
 
     def fire(self, now_us: int, token: int) -> None:
-        """Make all calls that are due."""
+        """Make all calls that are due, now that the timer with this token has fired."""
         if token == self.armed_at_us:
             self.armed_at_us = 0
         while self._calls and self._calls[0][0] <= now_us:
@@ -39,6 +41,7 @@
         self._arm(now_us)
 
     def _arm(self, now_us: int) -> None:
+        """Set a timer for the earliest call, unless one that fires by then is pending."""
         if self._calls and (not self.armed_at_us or self._calls[0][0] < self.armed_at_us):
             self.armed_at_us = self._calls[0][0]
             self._emit(SetTimer(max(0, self.armed_at_us - now_us), self.armed_at_us))
--- a/nickelmount/balancer/warming_endpoints.py
+++ b/nickelmount/balancer/warming_endpoints.py
@@ -1,7 +1,7 @@
-"""The ready endpoints that have started of late: their capacity in all, without a pass over each.
+"""The ready endpoints that are warming up, and their total capacity.
 
-A zone that returns, or a fleet that has restarted, is thousands of them, and their capacity is asked for with
-each change of the list and each second.
+The total is computed without a pass over all of them. When a zone returns or a fleet restarts, thousands of
+endpoints are warming up, and their capacity is needed at each change of the list and once a second.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 
 
 class WarmingEndpoints:
-    """The endpoints within the ramp, ordered by their start."""
+    """The endpoints that are within the warm-up ramp, sorted by start time."""
 
     def __init__(self, ramp: WarmUpRamp) -> None:
         self._ramp = ramp
-        self._by_start: list[tuple[int, TrackedEndpoint]] = []
-        self._start_sum_us = 0  # of all starts
+        self._by_start: list[tuple[int, TrackedEndpoint]] = []  # Start times in us, with their endpoints.
+        self._start_sum_us = 0  # Sum of all start times in _by_start.
 
     def __len__(self) -> int:
         return len(self._by_start)
 
     def replace_all(self, endpoints: Iterable[TrackedEndpoint], now_us: int) -> None:
-        """Take in those of all endpoints that are ready and warming."""
+        """Replace the contents with those of the given endpoints that are ready and warming up."""
         self._by_start, self._start_sum_us = [], 0
         for endpoint in endpoints:
             endpoint.warming_since_us = 0
             if endpoint.is_ready and self._is_warming(endpoint, now_us):
-                self._by_start.append(self._entry(endpoint))
+                self._by_start.append(self._create_entry(endpoint))
         self._by_start.sort(key=_start)
 
     def add(self, endpoint: TrackedEndpoint, now_us: int) -> None:
-        """Take in a ready endpoint, unless it is warm."""
+        """Add a ready endpoint if it is warming up."""
         if self._is_warming(endpoint, now_us):
-            insort(self._by_start, self._entry(endpoint), key=_start)
+            insort(self._by_start, self._create_entry(endpoint), key=_start)
 
     def remove(self, endpoint: TrackedEndpoint) -> None:
-        """Take an endpoint out, if it is in."""
+        """Remove an endpoint if it is present."""
         since_us = endpoint.warming_since_us
         if since_us:
             first = bisect_left(self._by_start, since_us, key=_start)
@@ -48,17 +48,20 @@
             endpoint.warming_since_us = 0
 
     def capacity(self, now_us: int) -> float:
-        """What all of them can do at the least, in warm endpoints; those that are warm now leave."""
+        """Return the minimum capacity of all these endpoints, in units of one warm endpoint.
+
+        Endpoints that are warm by now are removed first.
+        """
         ramp = self._ramp
-        self._remove_warm(bisect_right(self._by_start, now_us - ramp.duration_us, key=_start))
-        # Clocks differ: a start may be still to come.
-        started = bisect_right(self._by_start, now_us, key=_start)
-        future_sum_us = sum(start for start, _ in self._by_start[started:])
-        age_sum_us = started * now_us - (self._start_sum_us - future_sum_us)
-        ramped = (1.0 - ramp.start_capacity) * age_sum_us / ramp.duration_us if started else 0.0
-        return len(self._by_start) * ramp.start_capacity + ramped
-
-    def _remove_warm(self, count: int) -> None:
+        self._remove_first(bisect_right(self._by_start, now_us - ramp.duration_us, key=_start))
+        # A start time may be in the future, because clocks differ.
+        started_count = bisect_right(self._by_start, now_us, key=_start)
+        future_sum_us = sum(start_us for start_us, _ in self._by_start[started_count:])
+        age_sum_us = started_count * now_us - (self._start_sum_us - future_sum_us)
+        gained = (1.0 - ramp.start_capacity) * age_sum_us / ramp.duration_us if started_count else 0.0
+        return len(self._by_start) * ramp.start_capacity + gained
+
+    def _remove_first(self, count: int) -> None:
         for start_us, endpoint in self._by_start[:count]:
             self._start_sum_us -= start_us
             endpoint.warming_since_us = 0
@@ -67,7 +70,8 @@
     def _is_warming(self, endpoint: TrackedEndpoint, now_us: int) -> bool:
         return endpoint.started_at_us != 0 and now_us - endpoint.started_at_us < self._ramp.duration_us
 
-    def _entry(self, endpoint: TrackedEndpoint) -> tuple[int, TrackedEndpoint]:
+    def _create_entry(self, endpoint: TrackedEndpoint) -> tuple[int, TrackedEndpoint]:
+        """Return the entry of a warming endpoint, and add its start time to the sum."""
         endpoint.warming_since_us = endpoint.started_at_us
         self._start_sum_us += endpoint.started_at_us
         return endpoint.started_at_us, endpoint
