--- a/nickelmount/balancer/timers.py
+++ b/nickelmount/balancer/timers.py
@@ -1,4 +1,4 @@
-"""Delayed calls, for which the caller of the balancer has to keep timers."""
+"""Delayed calls, which share one timer that the caller of the balancer has to keep."""
 
 from __future__ import annotations
 
--- a/nickelmount/protocol/__init__.py
+++ b/nickelmount/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The forms in which settings come from outside, and their translation into the balancer's types."""
+"""The formats of data that the agent reads, such as settings and endpoint lists, and their parsers."""
--- a/nickelmount/protocol/endpoint_list.py
+++ b/nickelmount/protocol/endpoint_list.py
@@ -1,7 +1,8 @@
-"""The endpoint list: the calls that ask discovery for it, and its JSON.
+"""The endpoint list: request targets for the calls to discovery, and a parser for its JSON.
 
-This is the one place where the names of that document (`members`, `host_port`, `locality`, `phase`, `size`,
-`up_since_ms`) stand beside the balancer's. Fields that no decision uses, such as `flavor`, are skipped.
+This is the only place that maps the names in that document (`members`, `host_port`, `locality`, `phase`,
+`size`, `up_since_ms`) to the names that the balancer uses. Fields that no decision uses, such as `flavor`,
+are ignored.
 """
 
 from __future__ import annotations
@@ -24,39 +25,39 @@
 
 log = logging.getLogger(__name__)
 
-ENTRIES_PER_SLICE = 64  # read in one iteration of the event loop: half a millisecond
-MAX_CAPACITY_HINT = 1e9
+ENTRIES_PER_SLICE = 64  # Entries parsed in one iteration of the event loop, which takes half a millisecond.
+MAX_CAPACITY_HINT = 1e9  # Capacity hints must be below this.
 STATUS_OF_PHASE = {
     "SERVING": EndpointStatus.READY,
     "DRAINING": EndpointStatus.DRAINING,
     "DELETED": EndpointStatus.REMOVED,
 }
-_NO_ADDRESS = Address("", 0)  # of an endpoint that is removed because its entry could not be read
-_DECISIVE_FIELDS = itemgetter("host_port", "locality", "cell", "phase", "size", "up_since_ms")
+_NO_ADDRESS = Address("", 0)  # Address of an endpoint that is removed because its entry is invalid.
+_get_used_fields = itemgetter("host_port", "locality", "cell", "phase", "size", "up_since_ms")
 
 
 def complete_list_target() -> str:
-    """The request target that asks for the complete list; discovery answers it at once."""
+    """Return the request target for the complete list, which discovery answers at once."""
     return ENDPOINT_LIST_PATH
 
 
 def changes_target(revision: int | None, wait_ms: int) -> str:
-    """The request target that asks for what changed after a revision.
+    """Return the request target for the changes after a revision.
 
-    Where nothing has, discovery holds its answer back for up to wait_ms, until something does.
+    If there are none, discovery delays its answer until there is a change, for up to wait_ms.
     """
     return f"{ENDPOINT_LIST_PATH}?index={revision}&wait={wait_ms}"
 
 
 @dataclass(slots=True, frozen=True)
 class ListedEndpoint:
-    """An entry of the list: what the balancer is to know of an endpoint, and where it listens."""
+    """An entry of the endpoint list: the endpoint as the balancer gets it, and its address."""
 
     endpoint: Endpoint
     address: Address
 
     def is_same_process_as(self, other: ListedEndpoint | None) -> bool:
-        """Whether a connection to the one leads to the other."""
+        """Return whether both entries describe the same process, so that connections to it can be kept."""
         return (
             other is not None
             and self.address == other.address
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """An answer of discovery: the complete list, or the entries that changed."""
+    """An answer of discovery: the complete list, or only the entries that have changed."""
 
     revision: int
     is_complete: bool
@@ -74,49 +75,50 @@
 
 
 class WallClock(Protocol):
-    """What a parser needs of the agent's clock."""
+    """The part of the agent's clock that a parser needs."""
 
     def from_unix_ms(self, ms: int) -> int:
-        """A Unix time in milliseconds as monotonic time in microseconds; 0 (long ago) stays 0."""
+        """Convert a Unix time in milliseconds to monotonic time in microseconds; 0 (long ago) stays 0."""
 
 
-# An entry as it was last read: its fields as they stood in the document, and what they were read as. It is a
-# plain tuple because a large list has thousands, and a lookup in one takes longer where its items have names.
+# A parsed entry: the values of its used fields in the document, and the result of parsing them. It is a plain
+# tuple and not a named one, because a large list has thousands of entries and named items are slower to read.
 _CachedEntry = tuple[tuple[Any, ...], ListedEndpoint]
 
 
 class EndpointListParser:
-    """Turns discovery's JSON into an EndpointList; raises EndpointListError where the document is none.
+    """A parser for discovery's JSON, which raises EndpointListError if a document is no endpoint list.
 
-    An entry that reads as it last did gives the same ListedEndpoint, so that a complete list of which little
-    has changed costs little more than its JSON.
+    An entry whose fields have not changed yields the same ListedEndpoint as before, so that a complete list
+    with few changes costs little more than decoding its JSON.
 
-    An entry that cannot be read harms itself only: its endpoint, where it is named, counts as removed. Were
-    the document refused, a change with one bad entry would be sent again in answer to each call, and no
-    change of the other endpoints would become known.
+    An invalid entry affects only its own endpoint, which counts as removed if the entry has an id. If the
+    whole document were rejected, discovery would send a change with one invalid entry again in answer to each
+    call, and changes of the other endpoints would never be applied.
     """
 
     def __init__(self, clock: WallClock, zones: tuple[str, ...]) -> None:
-        """`zones` are the known values of `locality`; the balancer counts zones by their place in it."""
+        """Create a parser. The position of a `locality` in `zones` is its zone number in the balancer."""
         self._clock = clock
         self._zone_numbers = {name: number for number, name in enumerate(zones)}
-        self._cache: dict[str, _CachedEntry] = {}  # by id, of the endpoints that are listed
+        self._cache: dict[str, _CachedEntry] = {}  # Parsed entries of the listed endpoints, by id.
 
     @property
     def cached_entry_count(self) -> int:
-        """How many entries are remembered, so that equal ones need not be read again."""
+        """The number of cached entries, which are not parsed again if they have not changed."""
         return len(self._cache)
 
     def parse(self, document: Any) -> EndpointList:
-        """Read a decoded document in one go."""
+        """Parse a decoded document in one go."""
         with _as_endpoint_list_error():
-            entries = [self._read_entry(raw) for raw in _raw_entries(document)]
+            entries = [self._get_or_parse_entry(raw) for raw in _raw_entries(document)]
             return self._build_list(document, entries)
 
     async def parse_in_slices(self, document: Any) -> EndpointList:
-        """Read a decoded document over many turns of the event loop.
+        """Parse a decoded document in slices, over many iterations of the event loop.
 
-        A list of thousands takes 50 ms, for which requests would be held up if it were read in one go.
+        A list of thousands of entries takes 50 ms to parse, which would delay requests if it were done in one
+        go.
         """
         with _as_endpoint_list_error():
             raw_entries = _raw_entries(document)
@@ -124,62 +126,71 @@
             for start in range(0, len(raw_entries), ENTRIES_PER_SLICE):
                 if start:
                     await asyncio.sleep(0)
-                entries += [self._read_entry(raw) for raw in raw_entries[start : start + ENTRIES_PER_SLICE]]
+                entries += [
+                    self._get_or_parse_entry(raw) for raw in raw_entries[start : start + ENTRIES_PER_SLICE]
+                ]
             return self._build_list(document, entries)
 
     async def parse_body(self, body: bytes) -> EndpointList:
-        """Decode the body of an answer, and read it over many turns of the event loop."""
+        """Decode the JSON body of an answer, and parse it over many iterations of the event loop."""
         try:
             document = json.loads(body)
         except ValueError as error:
-            raise EndpointListError(f"endpoint list: {error}") from error
+            raise EndpointListError(f"endpoint list is not JSON: {error}") from error
         return await self.parse_in_slices(document)
 
     def _build_list(self, document: Any, entries: list[ListedEndpoint | None]) -> EndpointList:
-        readable = tuple(entry for entry in entries if entry is not None)
-        endpoint_list = EndpointList(int(document["revision"]), bool(document["complete"]), readable)
+        """Return the list without entries that are None, and drop unlisted endpoints from the cache."""
+        identified = tuple(entry for entry in entries if entry is not None)
+        endpoint_list = EndpointList(int(document["revision"]), bool(document["complete"]), identified)
         if endpoint_list.is_complete:
             listed_ids = {entry.endpoint.id for entry in endpoint_list.entries}
-            self._cache = {name: cached for name, cached in self._cache.items() if name in listed_ids}
+            self._cache = {
+                endpoint_id: cached
+                for endpoint_id, cached in self._cache.items()
+                if endpoint_id in listed_ids
+            }
         return endpoint_list
 
-    def _read_entry(self, raw: Any) -> ListedEndpoint | None:
-        """The entry, from the cache if it reads as before; None if it cannot be read and names no one."""
+    def _get_or_parse_entry(self, raw: Any) -> ListedEndpoint | None:
+        """Return the entry, from the cache if it has not changed; None if it is invalid and has no id."""
         try:
-            decisive_fields = _DECISIVE_FIELDS(raw)
+            used_fields = _get_used_fields(raw)
             cached = self._cache.get(raw["id"])
-            if cached is not None and cached[0] == decisive_fields:
+            if cached is not None and cached[0] == used_fields:
                 return cached[1]
         except (KeyError, TypeError):
-            decisive_fields = ()  # not cached; a field is missing, and if it is not optional, that is logged
+            # A field is missing, so the entry is not cached. If the field is required, parsing logs it.
+            used_fields = ()
         listed = self._parse_or_remove(raw)
         if listed is not None:
-            self._remember(listed, decisive_fields)
+            self._update_cache(listed, used_fields)
         return listed
 
-    def _remember(self, listed: ListedEndpoint, decisive_fields: tuple[Any, ...]) -> None:
-        name = str(listed.endpoint.id)
-        self._cache.pop(name, None)
-        if decisive_fields and listed.endpoint.status is not EndpointStatus.REMOVED:
-            # Strings that stand in many entries are stored once.
-            interned = tuple(sys.intern(x) if type(x) is str else x for x in decisive_fields)
-            self._cache[name] = interned, listed
+    def _update_cache(self, listed: ListedEndpoint, used_fields: tuple[Any, ...]) -> None:
+        endpoint_id = str(listed.endpoint.id)
+        self._cache.pop(endpoint_id, None)
+        if used_fields and listed.endpoint.status is not EndpointStatus.REMOVED:
+            # Strings are interned, so that a value that many entries contain is stored once.
+            interned = tuple(sys.intern(x) if type(x) is str else x for x in used_fields)
+            self._cache[endpoint_id] = interned, listed
 
     def _parse_or_remove(self, raw: Any) -> ListedEndpoint | None:
+        """Parse an entry. An invalid one yields a removed endpoint, or None if it has no id."""
         try:
             return self._parse_entry(raw)
         except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
-            log.warning("entry of the endpoint list skipped: %s %s", type(error).__name__, error)
-        name = raw.get("id") if isinstance(raw, dict) else None
-        if not isinstance(name, str):
+            log.warning("invalid entry of the endpoint list: %s %s", type(error).__name__, error)
+        endpoint_id = raw.get("id") if isinstance(raw, dict) else None
+        if not isinstance(endpoint_id, str):
             return None
-        return ListedEndpoint(Endpoint(name, EndpointStatus.REMOVED), _NO_ADDRESS)
+        return ListedEndpoint(Endpoint(endpoint_id, EndpointStatus.REMOVED), _NO_ADDRESS)
 
     def _parse_entry(self, raw: Any) -> ListedEndpoint:
         capacity_hint = float(raw.get("size") or 1.0)
         if not 0.0 < capacity_hint < MAX_CAPACITY_HINT:
-            # Infinite, negative or not a number, it would spoil every mean that it enters.
-            raise ValueError(f"size {capacity_hint}")
+            # A hint that is infinite, negative or not a number would corrupt every mean that includes it.
+            raise ValueError(f"size is {capacity_hint}, but must be above 0 and below {MAX_CAPACITY_HINT:g}")
         endpoint = Endpoint(
             id=str(raw["id"]),
             status=STATUS_OF_PHASE[raw["phase"]],
@@ -193,15 +204,15 @@
 
 @contextmanager
 def _as_endpoint_list_error() -> Iterator[None]:
-    """Map the errors of reading a document that is no endpoint list."""
+    """Convert the errors that a document of another form causes to EndpointListError."""
     try:
         yield
     except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
-        raise EndpointListError(f"endpoint list: {type(error).__name__} {error}") from None
+        raise EndpointListError(f"endpoint list is invalid: {type(error).__name__} {error}") from None
 
 
 def _raw_entries(document: Any) -> list[Any]:
     raw_entries = document["members"]
     if not isinstance(raw_entries, list):
-        raise TypeError("members")
+        raise TypeError(f"members is of type {type(raw_entries).__name__}, but must be a list")
     return raw_entries
--- a/nickelmount/protocol/load_report.py
+++ b/nickelmount/protocol/load_report.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-MAX_VALUE = 1e9
+MAX_VALUE = 1e9  # Values in a load report must be below this.
 
 
 def parse_load_report(text: str | None, field_names: tuple[str, ...]) -> tuple[float, ...]:
-    """Read a report such as `inflight=7,queue=2,util=0.61` in the order of `field_names`.
+    """Parse a report such as `inflight=7,queue=2,util=0.61`; return its values in the order of `field_names`.
 
-    Fields that are not asked for are skipped. Returns () where there is no report, where a field is missing,
-    and where a value is not a number in 0..MAX_VALUE: one that is negative or not finite would spoil every
-    average that it enters.
+    Other fields are ignored. Returns () if there is no report, if a field is missing, or if a value is not a
+    number from 0 up to MAX_VALUE: a value that is negative or not finite would corrupt every average that
+    includes it.
     """
     if not text or not field_names:
         return ()
--- a/nickelmount/protocol/settings.py
+++ b/nickelmount/protocol/settings.py
@@ -1,6 +1,6 @@
-"""The settings as a deployment states them in JSON, translated for the agent and the simulator's adapter.
+"""The translation of a deployment's JSON settings for the agent and the simulator's adapter.
 
-This is the one place where the names of that document stand beside the balancer's.
+This is the only place that maps the names in that document to the names that the balancer uses.
 """
 
 from __future__ import annotations
@@ -32,15 +32,15 @@
 
 
 def settings_from(document: Mapping[str, Any]) -> Settings:
-    """Translate the settings of a deployment; all times in the document are microseconds.
+    """Translate the settings of a deployment. All times in the document are in microseconds.
 
-    Unknown keys are skipped, and so are known ones that no decision uses. Raises SettingsError, naming the
-    key, where one that is required is missing, or its value cannot be used.
+    Keys that are unknown, or that no decision uses, are ignored. Raises SettingsError if a required key is
+    missing or a value is invalid; the message names the key or the field.
     """
     try:
         return _settings(document)
     except KeyError as e:
-        raise SettingsError(f"settings: required key or known word missing: {e}") from None
+        raise SettingsError(f"settings: a required key is missing or a value is unknown: {e}") from None
     except (TypeError, AttributeError, ValueError, OverflowError) as e:
         raise SettingsError(f"settings: {e}") from None
 
--- a/nickelmount/simulator/__init__.py
+++ b/nickelmount/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that runs the balancer on the simulator's wire: ``python -m nickelmount.simulator``."""
+"""The adapter that runs balancers for the simulator over a binary protocol."""
--- a/nickelmount/simulator/__main__.py
+++ b/nickelmount/simulator/__main__.py
@@ -1,6 +1,6 @@
-"""Answers the simulator on standard input and output: ``python -m nickelmount.simulator``.
+"""Serves the simulator on standard input and output: ``python -m nickelmount.simulator``.
 
-Bad input gives one line on standard error and exit status 2.
+Invalid input causes one line on standard error and exit status 2.
 """
 
 import sys
@@ -9,16 +9,16 @@
 
 from .host import serve
 
-BAD_INPUT = 2  # exit status
+INVALID_INPUT_STATUS = 2
 
 
 def main() -> int:
-    """Serve until the input ends; returns the exit status."""
+    """Serve until the input ends, and return the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except FrameError as e:
         print(f"nickelmount: {e}", file=sys.stderr)
-        return BAD_INPUT
+        return INVALID_INPUT_STATUS
     return 0
 
 
--- a/nickelmount/simulator/codec.py
+++ b/nickelmount/simulator/codec.py
@@ -1,7 +1,8 @@
-"""The records of the simulator's wire: bytes to events, actions to bytes. No state, no decision.
+"""The codec of the simulator's binary protocol, which decodes events and encodes actions.
 
-A frame is a header, records of one size, and a tail that records point into. All numbers are big-endian.
-This is the one place where the codes and layouts of that wire are written down.
+A frame consists of a header, records of a fixed size, and a tail with data of variable length. Records refer
+to data in the tail by offset and length. All numbers are big-endian. This is the only place that defines the
+codes and layouts of the protocol. The codec has no state and makes no decisions.
 """
 
 from __future__ import annotations
@@ -39,18 +40,19 @@
 )
 from nickelmount.errors import FrameError
 
-FRAME_HEADER = struct.Struct(">QII")  # clock, frame length, number of records
-REPLY_HEADER = struct.Struct(">II")  # reply length, number of records
-EVENT_SIZE, ENTRY_SIZE = 48, 24  # bytes of one event record, and of one entry of an endpoint list
+FRAME_HEADER = struct.Struct(">QII")  # Clock in microseconds, frame length, number of records.
+REPLY_HEADER = struct.Struct(">II")  # Reply length, number of records.
+EVENT_SIZE, ENTRY_SIZE = 48, 24  # Size in bytes of an event record and of an entry of an endpoint list.
 
-# Event records, behind their code of one byte. Each but DEFINE_LIST begins with the number of its instance.
+# Layouts of event records after their code, which is one byte. Each layout except DEFINE_LIST begins with the
+# number of an instance, which is one balancer.
 INSTANCE = struct.Struct(">H")
 SPAWN = struct.Struct(">HQII")
 DISCOVERY = struct.Struct(">HQBB")
 REQUEST = struct.Struct(">HQIIQHBI")
 RESPONSE_STARTED = struct.Struct(">HQH")
 ATTEMPT_ENDED = struct.Struct(">HQBHI6sHB4f")
-NUMBERED = struct.Struct(">HQ")  # a request or a timer
+INSTANCE_AND_ID = struct.Struct(">HQ")  # Used for the id of a request and for the token of a timer.
 PROBE_ENDED = struct.Struct(">H6sHIB4f")
 GOSSIP = struct.Struct(">HHII")
 DEFINE_LIST = struct.Struct(">BII")
@@ -58,7 +60,7 @@
 
 SPAWN_CODE, DISCOVERY_CODE, GOSSIP_CODE, CRASH_CODE, LIST_CODE = 10, 20, 90, 100, 110
 
-# Action records, their code included
+# Layouts of action records, including their code
 SEND_ATTEMPT = struct.Struct(">BHQI6s3x")
 REJECT_REQUEST = struct.Struct(">BHQI9x")
 FAIL_REQUEST = struct.Struct(">BHQ13x")
@@ -72,7 +74,7 @@
 
 LOG_CODE, FAULT_CODE = 90, 100
 U32_MAX = 0xFFFFFFFF
-HAS_COST, IS_RETRY = 1, 2  # bits of a request's flags
+HAS_COST, IS_RETRY = 1, 2  # Bits in the flags of a request.
 
 OUTCOMES = {
     0: Outcome.OK,
@@ -94,30 +96,36 @@
 
 
 def tail_slice(frame: bytes, tail: int, offset: int, size: int) -> bytes:
-    """The part of a frame's tail that a record points at; FrameError where it lies beyond the tail."""
+    """Return the part of a frame's tail that a record refers to.
+
+    `tail` is the position of the tail in the frame. Raises FrameError if the part exceeds the tail.
+    """
     if tail + offset + size > len(frame):
-        raise FrameError(f"offset {offset} and length {size} lie beyond the tail")
+        raise FrameError(
+            f"offset {offset} and length {size} lie beyond the tail of {len(frame) - tail} bytes"
+        )
     return frame[tail + offset : tail + offset + size]
 
 
-# Events: each decoder takes the frame and where the record begins, behind its code.
+# Events. Each decoder takes the frame and the position after the record's code.
 
 
 def decode_endpoints(entries: bytes) -> list[Endpoint]:
-    """The entries of an endpoint list; the kind of machine is not used."""
+    """Decode the entries of an endpoint list. The machine type is ignored."""
     return [
         Endpoint(id_, STATUSES[status], zone, cell, capacity_hint, started_at_us)
-        for id_, zone, _kind, cell, status, capacity_hint, started_at_us in ENTRY.iter_unpack(entries)
+        for id_, zone, _machine_type, cell, status, capacity_hint, started_at_us in ENTRY.iter_unpack(entries)
     ]
 
 
 def decode_gossip(frame: bytes, at: int, tail: int) -> GossipReceived:
-    """A message of another instance."""
+    """Decode a gossip message from another instance."""
     _, sender, offset, size = GOSSIP.unpack_from(frame, at)
     return GossipReceived(sender, tail_slice(frame, tail, offset, size))
 
 
 def _decode_request(frame: bytes, at: int) -> Event:
+    # The key of the request is ignored.
     _, request_id, tenant, timeout_us, _key, class_, flags, cost_us = REQUEST.unpack_from(frame, at)
     known_cost_us = cost_us if flags & HAS_COST else 0
     return RequestArrived(request_id, class_, timeout_us, tenant, known_cost_us, bool(flags & IS_RETRY))
@@ -139,11 +147,11 @@
 
 
 def _decode_client_disconnected(frame: bytes, at: int) -> Event:
-    return ClientDisconnected(NUMBERED.unpack_from(frame, at)[1])
+    return ClientDisconnected(INSTANCE_AND_ID.unpack_from(frame, at)[1])
 
 
 def _decode_timer_fired(frame: bytes, at: int) -> Event:
-    return TimerFired(NUMBERED.unpack_from(frame, at)[1])
+    return TimerFired(INSTANCE_AND_ID.unpack_from(frame, at)[1])
 
 
 def _decode_probe_ended(frame: bytes, at: int) -> Event:
@@ -161,7 +169,7 @@
 }
 
 
-# Actions: each encoder takes the instance, the action, and the reply's tail, to which it may add.
+# Actions. Each encoder takes the instance, the action, and the reply's tail, to which it may append data.
 
 
 def _encode_send_attempt(instance: int, a: SendAttempt, tail: bytearray) -> bytes:
@@ -207,7 +215,7 @@
 
 
 def encode_text(code: int, instance: int, text: str, tail: bytearray) -> bytes:
-    """A record whose text is put in the tail."""
+    """Return a record with a text, which is appended to the tail."""
     encoded = text.encode()
     offset = len(tail)
     tail += encoded
@@ -229,5 +237,5 @@
 
 
 def encode_action(instance: int, action: Action, tail: bytearray) -> bytes:
-    """The record of an action of one instance."""
+    """Return the record of an instance's action. Data of variable length is appended to the tail."""
     return ENCODERS[type(action)](instance, action, tail)
--- a/nickelmount/simulator/host.py
+++ b/nickelmount/simulator/host.py
@@ -1,4 +1,4 @@
-"""Many balancers in one process, each fed with its own events of a frame."""
+"""The host of many balancers in one process, which dispatches the events of each frame to them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Reply:
-    """The reply to one frame, as it grows."""
+    """The reply to one frame, which is built record by record."""
 
     def __init__(self) -> None:
         self._records: list[bytes] = []
@@ -26,53 +26,60 @@
         self._records.append(codec.encode_action(instance, action, self._tail))
 
     def add_fault(self, instance: int, error: Exception) -> None:
-        """Append the record that says that an instance raised."""
+        """Append a record that reports an exception in an instance."""
         text = f"{type(error).__name__}: {error}"
         self._records.append(codec.encode_text(codec.FAULT_CODE, instance, text, self._tail))
 
     def encode(self) -> bytes:
-        """The reply in one piece."""
+        """Return the reply as bytes: the header, the records and the tail."""
         body = b"".join(self._records)
         size = codec.REPLY_HEADER.size + len(body) + len(self._tail)
         return codec.REPLY_HEADER.pack(size, len(self._records)) + body + self._tail
 
 
 class Host:
-    """All balancers of this process, by the number of their instance."""
+    """The balancers of this process, by instance number."""
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
-        self._lists: dict[int, list[Endpoint]] = {}  # as defined by earlier records
+        # Endpoint lists by number. One record defines a list, and later records refer to it by its number.
+        self._lists: dict[int, list[Endpoint]] = {}
 
-    def answer(self, frame: bytes) -> bytes:
-        """The reply to one complete frame. Raises FrameError, naming the clock and the byte."""
-        now, _, count = codec.FRAME_HEADER.unpack_from(frame)
+    def handle_frame(self, frame: bytes) -> bytes:
+        """Process one complete frame, and return the reply.
+
+        Raises FrameError, naming the clock and the byte position of the record, if the frame is invalid.
+        """
+        now_us, _, count = codec.FRAME_HEADER.unpack_from(frame)
         tail = codec.FRAME_HEADER.size + count * codec.EVENT_SIZE
         if tail > len(frame):
-            raise FrameError(f"frame at clock {now}: {count} records do not fit its {len(frame)} bytes")
+            raise FrameError(f"frame at clock {now_us}: {count} records do not fit its {len(frame)} bytes")
         reply = Reply()
         for at in range(codec.FRAME_HEADER.size, tail, codec.EVENT_SIZE):
             try:
-                decoded = self._take(frame, at, tail)
+                decoded = self._process_record(frame, at, tail)
             except FrameError as e:
-                raise FrameError(f"frame at clock {now}, byte {at}: {e}") from None
+                raise FrameError(f"frame at clock {now_us}, byte {at}: {e}") from None
             except (KeyError, ValueError) as e:
-                raise FrameError(f"frame at clock {now}, byte {at}: bad value {e}") from None
+                raise FrameError(f"frame at clock {now_us}, byte {at}: bad value {e}") from None
             if decoded is not None:
-                self._handle(now, *decoded, reply)
+                self._handle_event(now_us, *decoded, reply)
         return reply.encode()
 
-    def _handle(self, now: int, instance: int, event: Event, reply: Reply) -> None:
+    def _handle_event(self, now_us: int, instance: int, event: Event, reply: Reply) -> None:
         try:
-            actions = self._balancers[instance].handle(now, event)
-        except Exception as e:  # a fault of one instance is reported in the reply, and others go on
+            actions = self._balancers[instance].handle(now_us, event)
+        except Exception as e:  # The reply reports the exception, so that the other instances go on.
             reply.add_fault(instance, e)
             return
         for action in actions:
             reply.add_action(instance, action)
 
-    def _take(self, frame: bytes, at: int, tail: int) -> tuple[int, Event] | None:
-        """Carry out a record that concerns the host alone; return the instance and the event of any other."""
+    def _process_record(self, frame: bytes, at: int, tail: int) -> tuple[int, Event] | None:
+        """Process the record at a position. For an event, return it with its instance; otherwise None.
+
+        Records that define a list, or that start or stop an instance, are for the host itself.
+        """
         code, body = frame[at], at + 1
         if code == codec.LIST_CODE:
             self._define_list(frame, body, tail)
@@ -105,7 +112,7 @@
         except ValueError as e:
             raise FrameError(f"settings: not JSON: {e}") from None
         if not isinstance(document, dict):
-            raise FrameError("settings: not an object")
+            raise FrameError(f"settings: must be an object, but are of type {type(document).__name__}")
         try:
             self._balancers[instance] = Balancer(settings_from(document), seed)
         except SettingsError as e:
@@ -122,12 +129,15 @@
         if kind is ListUpdateKind.FAILED:
             return EndpointsChanged(kind, [])
         if number not in self._lists:
-            raise FrameError(f"list {number} was never defined")
+            raise FrameError(f"list {number} is not defined")
         return EndpointsChanged(kind, self._lists[number])
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer frames until the input ends; each reply is flushed. Raises FrameError."""
+    """Read frames and write replies until the input ends. Each reply is flushed.
+
+    Raises FrameError if the input ends inside a frame or a frame is invalid.
+    """
     host = Host()
     while True:
         header = source.read(codec.FRAME_HEADER.size)
@@ -137,12 +147,12 @@
             raise FrameError(
                 f"input ends inside a frame header, {len(header)} of {codec.FRAME_HEADER.size} bytes"
             )
-        now, size, _ = codec.FRAME_HEADER.unpack(header)
+        now_us, size, _ = codec.FRAME_HEADER.unpack(header)
         if size < codec.FRAME_HEADER.size:
-            raise FrameError(f"frame at clock {now}: length {size} is less than its header")
+            raise FrameError(f"frame at clock {now_us}: length {size} is less than its header")
         body_size = size - codec.FRAME_HEADER.size
         body = source.read(body_size)
         if len(body) < body_size:
-            raise FrameError(f"frame at clock {now}: input ends {body_size - len(body)} bytes early")
-        sink.write(host.answer(header + body))
+            raise FrameError(f"frame at clock {now_us}: input ends {body_size - len(body)} bytes early")
+        sink.write(host.handle_frame(header + body))
         sink.flush()
