--- a/nickelmount/balancer/feedback.py
+++ b/nickelmount/balancer/feedback.py
@@ -36,8 +36,8 @@
         # was sent. Otherwise the process works: it is only late, or only the connection broke.
         is_inconclusive = event.outcome in (Outcome.TIMEOUT, Outcome.RESET)
         if not is_inconclusive or endpoint.last_success_at_us <= attempt.sent_at_us:
-            self._outliers.attempt_ended(endpoint, event.outcome, now_us)
-        self._quotas.learn_traffic_share(len(endpoint.in_flight) + 1, max(0.0, endpoint.other_in_flight))
+            self._outliers.record_attempt_end(endpoint, event.outcome, now_us)
+        self._quotas.update_traffic_share(len(endpoint.in_flight) + 1, max(0.0, endpoint.other_in_flight))
 
     def _gossip_load(self, event: AttemptEnded, attempt: Attempt) -> None:
         """Send the load that an answer reported to other balancers, without the attempt that has ended."""
--- a/nickelmount/balancer/probing.py
+++ b/nickelmount/balancer/probing.py
@@ -51,7 +51,7 @@
                 to_probe.append(endpoint)
             endpoint.probe_waiters.append(request)
         if request.unanswered_probes:
-            request.probed_pairs += 1
+            request.probed_pair_count += 1
         return to_probe
 
     def end_probe(self, endpoint: TrackedEndpoint, has_load: bool) -> Iterator[Request]:
@@ -77,4 +77,4 @@
 
     def allow_more_pairs(self, request: Request) -> None:
         """Allow MAX_PROBED_PAIRS more pairs for a request that waits for a busy endpoint."""
-        request.max_probed_pairs = request.probed_pairs + MAX_PROBED_PAIRS
+        request.max_probed_pairs = request.probed_pair_count + MAX_PROBED_PAIRS
--- a/tests/agent_process.py
+++ b/tests/agent_process.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.loopback import Conversation, Peer
+from tests.loopback import ScriptedServer, StreamConnection
 
 
 class AgentProcess:
@@ -35,7 +35,7 @@
         new.write_text(text)
         new.replace(self._path)
 
-    def change_discovery(self, document: dict[str, Any], discovery: Peer) -> None:
+    def write_config_with_discovery(self, document: dict[str, Any], discovery: ScriptedServer) -> None:
         """Write the same configuration with another discovery."""
         self.write_config(json.dumps(document | {"discovery": f"127.0.0.1:{discovery.port}"}))
 
@@ -47,18 +47,18 @@
         self._process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "nickelmount", env=env, stderr=asyncio.subprocess.PIPE
         )
-        self.port = int((await self.log_line("listens on")).rpartition(":")[2])
+        self.port = int((await self.wait_for_log_line("listens on")).rpartition(":")[2])
 
-    async def log_line(self, text: str) -> str:
+    async def wait_for_log_line(self, text: str) -> str:
         """The next line of its log that contains the text."""
         assert self.process.stderr is not None
         while text.encode() not in (line := await self.process.stderr.readline()):
             assert line, "ended"
         return line.decode()
 
-    async def client(self) -> Conversation:
+    async def client(self) -> StreamConnection:
         """A new connection of a client."""
-        return Conversation(*await asyncio.open_connection("127.0.0.1", self.port))
+        return StreamConnection(*await asyncio.open_connection("127.0.0.1", self.port))
 
     async def stop(self) -> None:
         """Shut it down; it must end with exit code 0."""
@@ -83,9 +83,9 @@
 
 
 @contextlib.asynccontextmanager
-async def started_peers(count: int) -> AsyncIterator[list[Peer]]:
+async def started_peers(count: int) -> AsyncIterator[list[ScriptedServer]]:
     """Scripted servers, stopped at the end of the block."""
-    peers = [await Peer().start() for _ in range(count)]
+    peers = [await ScriptedServer().start() for _ in range(count)]
     try:
         yield peers
     finally:
@@ -93,6 +93,6 @@
             await peer.stop()
 
 
-def complete_list(revision: int, *members: dict[str, Any]) -> bytes:
+def complete_list_body(revision: int, *members: dict[str, Any]) -> bytes:
     """An answer of discovery."""
     return json.dumps({"revision": revision, "complete": True, "members": members}).encode()
