--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""A change of the list costs what has changed, and ends where a whole pass would have ended."""
+"""Tests of list updates: their result equals that of a pass over all endpoints, without the cost of one."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 from .balancer_driver import IDEMPOTENT, SECOND, BalancerDriver
 
-LARGE = 6300
+LARGE_FLEET_SIZE = 6300
 CLOCK = Clock()
 
 
-def drive(seed: int, **settings: Any) -> BalancerDriver:
+def new_driver(seed: int, **settings: Any) -> BalancerDriver:
     return BalancerDriver(
         endpoint_count=0,
         seed=seed,
@@ -45,128 +45,133 @@
     )
 
 
-def by_a_pass(b: Balancer, now: int) -> tuple[list[object], float]:
-    """What the ready servers are and can do, by looking at each."""
+def ready_ids_and_capacity(balancer: Balancer, now: int) -> tuple[list[object], float]:
+    """Return the ids of the ready endpoints in order, and their capacity, from a pass over all endpoints."""
     ready = sorted(
-        (s for s in b.endpoints.by_id.values() if s.status is EndpointStatus.READY), key=lambda s: s.order
+        (e for e in balancer.endpoints.by_id.values() if e.status is EndpointStatus.READY),
+        key=lambda e: e.order,
     )
-    return [s.id for s in ready], sum(b.slow_start.ramp.warm_share(s, now) for s in ready)
+    return [e.id for e in ready], sum(balancer.slow_start.ramp.warm_share(e, now) for e in ready)
 
 
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("settings", [{}, {"can_probe": True}])
-def test_after_any_changes_it_stands_as_a_pass_over_all_would_have_it(
+def test_after_any_changes_the_state_equals_that_of_a_pass_over_all_endpoints(
     seed: int, settings: dict[str, Any]
 ) -> None:
-    driver, random = drive(seed, **settings), Random(seed)
-    names = [f"s{i}" for i in range(30)]
+    driver, random = new_driver(seed, **settings), Random(seed)
+    ids = [f"s{i}" for i in range(30)]
     driver.now += 60 * SECOND
     for _ in range(300):
         driver.now += random.randrange(2 * SECOND)
         changed = []
-        for name in random.sample(names, random.choice((1, 1, 2, 15, 30))):
-            start = random.choice(
+        for endpoint_id in random.sample(ids, random.choice((1, 1, 2, 15, 30))):
+            started_at_us = random.choice(
                 (0, driver.now, driver.now - random.randrange(30 * SECOND), driver.now + 2 * SECOND)
             )
-            changed.append(Endpoint(name, random.choice(list(EndpointStatus)), started_at_us=start))
-        if random.random() < 0.2:  # a whole list; whom it does not name is gone
-            changed = [b for b in changed if b.status is not EndpointStatus.REMOVED]
+            changed.append(
+                Endpoint(endpoint_id, random.choice(list(EndpointStatus)), started_at_us=started_at_us)
+            )
+        if random.random() < 0.2:  # The update is a complete list, so that other endpoints are removed.
+            changed = [endpoint for endpoint in changed if endpoint.status is not EndpointStatus.REMOVED]
             driver.update_list(*changed, kind=ListUpdateKind.FULL)
         else:
             driver.update_list(*changed)
         driver.request()
-        b = driver.balancer
-        b.subset.choose(b.arrivals, driver.now)
-        ready, capacity = by_a_pass(b, driver.now)
-        assert [s.id for s in b.endpoints.ready] == ready
-        assert b.subset.capacity == pytest.approx(capacity)
-        assert set(b.endpoints.removed) == {
-            s.id for s in b.endpoints.by_id.values() if s.status is EndpointStatus.REMOVED
+        balancer = driver.balancer
+        balancer.subset.choose(balancer.arrivals, driver.now)
+        ready_ids, capacity = ready_ids_and_capacity(balancer, driver.now)
+        assert [e.id for e in balancer.endpoints.ready] == ready_ids
+        assert balancer.subset.capacity == pytest.approx(capacity)
+        assert set(balancer.endpoints.removed) == {
+            e.id for e in balancer.endpoints.by_id.values() if e.status is EndpointStatus.REMOVED
         }
 
 
 @pytest.mark.parametrize("event", ["change", "second"])
-def test_neither_a_change_nor_a_second_asks_all_of_a_large_fleet(
+def test_neither_a_list_change_nor_a_periodic_refresh_checks_all_endpoints_of_a_large_fleet(
     monkeypatch: pytest.MonkeyPatch, event: str
 ) -> None:
-    driver = drive(1)
-    # Half of them are back just now.
-    started = [Endpoint(f"s{i}", started_at_us=driver.now if i % 2 else 0) for i in range(LARGE)]
-    driver.update_list(*started, kind=ListUpdateKind.FULL)
-    asked = 0
+    driver = new_driver(1)
+    # Half of the endpoints have just started.
+    endpoints = [Endpoint(f"s{i}", started_at_us=driver.now if i % 2 else 0) for i in range(LARGE_FLEET_SIZE)]
+    driver.update_list(*endpoints, kind=ListUpdateKind.FULL)
+    call_count = 0
     warm_share = WarmUpRamp.warm_share
 
-    def counted(self: WarmUpRamp, *arguments: Any) -> float:
-        nonlocal asked
-        asked += 1
+    def counting_warm_share(self: WarmUpRamp, *arguments: Any) -> float:
+        nonlocal call_count
+        call_count += 1
         return warm_share(self, *arguments)
 
-    monkeypatch.setattr(WarmUpRamp, "warm_share", counted)
+    monkeypatch.setattr(WarmUpRamp, "warm_share", counting_warm_share)
     driver.now += 2 * SECOND
     if event == "change":
-        driver.update_list(replace(started[7], status=EndpointStatus.DRAINING))
+        driver.update_list(replace(endpoints[7], status=EndpointStatus.DRAINING))
     else:
         driver.event(RequestArrived(1, 0, SECOND))
-    assert 0 < asked < 1000
+    assert 0 < call_count < 1000
 
 
-def test_a_start_by_a_clock_ahead_where_servers_need_no_warming_up_is_no_fault() -> None:
+def test_a_start_time_in_the_future_is_accepted_if_endpoints_need_no_warm_up() -> None:
     driver = BalancerDriver(IDEMPOTENT, endpoint_count=2, warm_up_start_capacity=0.5, warm_up_us=0)
     driver.update_list(replace(driver.initial_endpoints[0], started_at_us=driver.now + SECOND))
     assert driver.request()[1]
 
 
-async def turns(reached: Callable[[], bool]) -> None:
-    while not reached():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    while not condition():
         await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize("history", ["kept", "gone", "renumbered"])
-def test_agents_that_come_back_in_the_middle_of_an_outage_end_with_the_list(history: Any) -> None:
+def test_agents_that_restart_during_an_outage_get_the_current_list(history: Any) -> None:
     async def run() -> None:
         discovery = EmulatedDiscovery()
-        e = Experiment(name="x", agents=AgentSettings(instance_count=1))
+        experiment = Experiment(name="x", agents=AgentSettings(instance_count=1))
         try:
-            begun = await discovery.start(DiscoveryStart(300, 7, 3, 4, 5, [9001], 10))
-            doc = build_agent_config(e, 0, begun.port, {"revision": 0, "complete": True, "members": []})
+            started = await discovery.start(DiscoveryStart(300, 7, 3, 4, 5, [9001], 10))
+            doc = build_agent_config(
+                experiment, 0, started.port, {"revision": 0, "complete": True, "members": []}
+            )
             agents = [HollowAgent(config_from(doc, {}, CLOCK), CLOCK, i) for i in range(12)]
-            for a in agents:
-                a.start()
-            for _ in range(15):  # more than the history holds
+            for agent in agents:
+                agent.start()
+            for _ in range(15):  # These are more changes than the history keeps.
                 await discovery.change("DRAINING", count=2, seed=1)
-            await turns(lambda: all(a.received_lists for a in agents))
+            await wait_until(lambda: all(agent.received_lists for agent in agents))
             await discovery.begin_outage("refused")
             await discovery.change("DELETED", where="zone", seed=2)
-            for a in agents[::2]:
-                a.end()
-            ended = await discovery.end_outage(history)
-            for a in agents[::2]:
-                a.start()
+            for agent in agents[::2]:
+                agent.end()
+            outage_end = await discovery.end_outage(history)
+            for agent in agents[::2]:
+                agent.start()
             await discovery.change("SERVING", replaced=True)
             revision = (await discovery.status()).revision
-            while not all(a.received_at_ns(revision, ended.at_ns) for a in agents):
+            while not all(agent.received_at_ns(revision, outage_end.at_ns) for agent in agents):
                 await asyncio.sleep(0.02)
-            serving = discovery.serving_ids()
-            for a in agents:
+            serving_ids = discovery.serving_ids()
+            for agent in agents:
                 assert (
-                    {s.id for s in a.agent._balancer.endpoints.ready}
-                    == serving
-                    == a.agent.upstream.endpoint_ids
+                    {e.id for e in agent.agent._balancer.endpoints.ready}
+                    == serving_ids
+                    == agent.agent.upstream.endpoint_ids
                 )
-                a.end()
+                agent.end()
         finally:
             await discovery.close()
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_a_whole_list_first_and_changes_first_end_alike() -> None:
-    """The module's order is its own seed's, whichever way it heard of its servers."""
+def test_a_complete_list_and_single_changes_give_the_same_order() -> None:
+    """The order of the ready endpoints depends on the balancer's seed, not on the kind of list updates."""
     listed = [Endpoint(f"s{i}") for i in range(50)]
-    one, other = drive(3), drive(3)
+    one, other = new_driver(3), new_driver(3)
     one.update_list(*listed, kind=ListUpdateKind.FULL)
-    for b in listed:
-        other.update_list(b)
-    assert [s.id for s in one.balancer.endpoints.ready] == [s.id for s in other.balancer.endpoints.ready]
+    for endpoint in listed:
+        other.update_list(endpoint)
+    assert [e.id for e in one.balancer.endpoints.ready] == [e.id for e in other.balancer.endpoints.ready]
     other.event(EndpointsChanged(ListUpdateKind.FULL, listed[:7]))
-    assert {s.id for s in other.balancer.endpoints.ready} == {f"s{i}" for i in range(7)}
+    assert {e.id for e in other.balancer.endpoints.ready} == {f"s{i}" for i in range(7)}
--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -1,4 +1,4 @@
-"""Probing: samples are asked for their load first."""
+"""Tests of probing: sampled endpoints are asked for their load before they are compared."""
 
 from __future__ import annotations
 
@@ -11,57 +11,59 @@
 from .balancer_driver import MS, SECOND, BalancerDriver, of_type
 
 
-def probing_drive(servers: int, **settings: Any) -> BalancerDriver:
+def probing_driver(endpoint_count: int, **settings: Any) -> BalancerDriver:
     return BalancerDriver(
-        endpoint_count=servers, can_probe=True, load_report_fields=("inflight",), **settings
+        endpoint_count=endpoint_count, can_probe=True, load_report_fields=("inflight",), **settings
     )
 
 
 def test_a_balancer_with_little_traffic_probes_both_samples() -> None:
-    # ibarra big-1: 322 balancers, each hearing from an endpoint once a minute, did no better than random.
-    driver = probing_drive(40)
-    light = 0
+    # Each of 322 balancers gets a load report from an endpoint only once a minute. Without probes, comparing
+    # two samples is then no better than a random choice.
+    driver = probing_driver(40)
+    sent_to_lighter = 0
     for _ in range(60):
         driver.advance(SECOND)
         _, actions = driver.request()
-        asked = [p.endpoint_id for p in of_type(actions, SendProbe)]
+        probed = [p.endpoint_id for p in of_type(actions, SendProbe)]
         assert not of_type(actions, SendAttempt)
-        assert len(asked) in (1, 2)
+        assert len(probed) in (1, 2)
         sends = []
-        for i, b in enumerate(asked):
-            sends += of_type(driver.event(ProbeEnded(b, Outcome.OK, MS, (9.0 * i,))), SendAttempt)
+        for i, endpoint_id in enumerate(probed):
+            sends += of_type(driver.event(ProbeEnded(endpoint_id, Outcome.OK, MS, (9.0 * i,))), SendAttempt)
         assert len(sends) == 1
-        light += sends[0].endpoint_id == asked[0]
+        sent_to_lighter += sends[0].endpoint_id == probed[0]
         driver.end_attempt(sends[0], Outcome.OK, 20 * MS, load_report=(1.0,))
-    assert light >= 50  # of 60; bands are coarse
+    # Not all 60 requests go to the lighter sample, because bands are coarse.
+    assert sent_to_lighter >= 50
 
 
 def test_a_sample_that_does_not_answer_its_probe_is_passed_over_in_time() -> None:
     for outcome in (None, Outcome.TIMEOUT):
-        driver = probing_drive(40)
+        driver = probing_driver(40)
         while True:
             _, actions = driver.request()
-            asked = [p.endpoint_id for p in of_type(actions, SendProbe)]
-            if len(asked) == 2:
+            probed = [p.endpoint_id for p in of_type(actions, SendProbe)]
+            if len(probed) == 2:
                 break
             driver.advance(SECOND)
-        sent = of_type(driver.event(ProbeEnded(asked[0], Outcome.OK, MS, (9.0,))), SendAttempt)
-        assert not sent  # the other may still answer
+        sent = of_type(driver.event(ProbeEnded(probed[0], Outcome.OK, MS, (9.0,))), SendAttempt)
+        assert not sent  # The other endpoint may still answer its probe.
         sent = of_type(
-            driver.event(ProbeEnded(asked[1], outcome, MS)) if outcome else driver.advance(25 * MS),
+            driver.event(ProbeEnded(probed[1], outcome, MS)) if outcome else driver.advance(25 * MS),
             SendAttempt,
         )
-        assert [s.endpoint_id for s in sent] == [asked[0]]
+        assert [s.endpoint_id for s in sent] == [probed[0]]
 
 
 def test_without_any_probe_answer_the_load_table_decides() -> None:
-    driver = probing_drive(40)
+    driver = probing_driver(40)
     driver.request()
     assert len(of_type(driver.advance(25 * MS), SendAttempt)) == 1
 
 
 def test_probes_that_cost_too_much_are_not_sent() -> None:
-    driver = probing_drive(40, prices=Prices(probe=0.05))
+    driver = probing_driver(40, prices=Prices(probe=0.05))
     _, actions = driver.request()
     assert of_type(actions, SendAttempt)
     assert not of_type(actions, SendProbe)
