--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: how it is read, and what of it the balancer is told."""
+"""Tests of the endpoint list: how it is parsed, and which changes the balancer gets."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 def fleet(*changed: dict[str, Any], count: int = 200) -> list[dict[str, Any]]:
-    """The entries of a fleet, with some of them changed or added."""
+    """Return the entries of a fleet, with some of them changed or added."""
     listed = {f"s{i}": member(f"s{i}", 9000 + i % 8) for i in range(count)}
     return list((listed | {entry["id"]: entry for entry in changed}).values())
 
 
 def complete_list(revision: int, members: list[dict[str, Any]]) -> dict[str, Any]:
-    # As it arrives: no object of one document is an object of another.
+    # The document is encoded and decoded like a received one, so that two documents share no objects.
     text = json.dumps({"revision": revision, "complete": True, "members": members})
     document: dict[str, Any] = json.loads(text)
     return document
@@ -40,14 +40,14 @@
     return Upstream(CLOCK, (), ConnectionPool(CLOCK, 250_000, 10_000_000, 9))
 
 
-def test_the_same_start_is_always_the_same_time() -> None:
+def test_the_same_unix_time_is_always_converted_to_the_same_monotonic_time() -> None:
     clock = Clock()
     assert clock.from_unix_ms(0) == 0
     assert clock.from_unix_ms(1_700_000_000_123) == clock.from_unix_ms(1_700_000_000_123) != 0
     assert clock.from_unix_ms(1_700_000_001_000) - clock.from_unix_ms(1_700_000_000_000) == 1_000_000
 
 
-def test_of_a_complete_list_the_balancer_is_told_what_has_changed() -> None:
+def test_the_balancer_gets_only_the_changes_of_a_complete_list() -> None:
     upstream, parser = new_upstream(), new_parser()
     assert len(upstream.apply(parser.parse(complete_list(1, fleet())))) == 200
     assert upstream.apply(parser.parse(complete_list(2, fleet()))) == []
@@ -69,7 +69,7 @@
     assert upstream.ready_endpoint("s9") is not None
 
 
-def test_an_entry_that_reads_as_before_is_the_same_object_and_only_listed_ones_are_cached() -> None:
+def test_an_unchanged_entry_yields_the_same_object_and_only_listed_entries_are_cached() -> None:
     parser = new_parser()
     before = parser.parse(complete_list(1, fleet())).entries
     after = parser.parse(complete_list(2, fleet(member("s3", 9003, "DRAINING"), count=150))).entries
@@ -80,16 +80,16 @@
     assert parser.cached_entry_count == 149
 
 
-def test_an_entry_that_has_become_unreadable_is_not_taken_from_the_cache() -> None:
+def test_an_entry_that_has_become_invalid_is_not_taken_from_the_cache() -> None:
     parser = new_parser()
     parser.parse(complete_list(1, fleet()))
-    unreadable = {**member("s8", 9000), "size": float("nan")}
-    entries = parser.parse(complete_list(2, fleet(unreadable))).entries
+    invalid = {**member("s8", 9000), "size": float("nan")}
+    entries = parser.parse(complete_list(2, fleet(invalid))).entries
     statuses = [entry.endpoint.status for entry in entries if entry.endpoint.id == "s8"]
     assert statuses == [EndpointStatus.REMOVED]
 
 
-def test_a_list_of_thousands_is_read_completely() -> None:
+def test_a_list_of_thousands_is_parsed_completely() -> None:
     members = [member(f"s-{i:08x}", 1 + i % 60000) for i in range(5000)]
     text = json.dumps({"revision": 42, "complete": True, "members": members}).encode()
     assert len(text) < MAX_RESPONSE_BODY_BYTES
@@ -98,17 +98,17 @@
 
 
 @async_test()
-async def test_a_list_of_thousands_is_read_in_many_turns_of_the_event_loop() -> None:
-    document, turns = complete_list(1, fleet(count=FLEET_SIZE)), 0
+async def test_a_list_of_thousands_is_parsed_in_many_iterations_of_the_event_loop() -> None:
+    document, iteration_count = complete_list(1, fleet(count=FLEET_SIZE)), 0
 
-    async def count_turns() -> None:
-        nonlocal turns
+    async def count_iterations() -> None:
+        nonlocal iteration_count
         while True:
-            turns += 1
+            iteration_count += 1
             await asyncio.sleep(0)
 
-    counting = asyncio.create_task(count_turns())
+    counting_task = asyncio.create_task(count_iterations())
     endpoint_list = await new_parser().parse_in_slices(document)
-    counting.cancel()
-    assert turns > 90
+    counting_task.cancel()
+    assert iteration_count > 90
     assert endpoint_list == new_parser().parse(document)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings validate themselves; a balancer with no or one server stays sane."""
+"""Tests of settings: values out of range are rejected, and optional keys may be missing."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
         ("list_call_timeout_us", 5_000_000),
     ],
 )
-def test_out_of_range_names_the_field(name: str, value: float) -> None:
+def test_the_error_for_a_value_out_of_range_names_the_field(name: str, value: float) -> None:
     values: dict[str, Any] = {name: value}
     with pytest.raises(ValueError, match=name):
         Settings(classes=(IDEMPOTENT,), **values)
 
 
-def test_prices_out_of_range_name_the_field() -> None:
+def test_the_error_for_a_price_out_of_range_names_the_field() -> None:
     for price in (-1.0, float("nan"), float("inf")):
         with pytest.raises(ValueError, match="probe"):
             Prices(probe=price)
@@ -50,18 +50,18 @@
 def test_optional_keys_may_be_missing_or_null() -> None:
     full = wire_settings()
     for key in ("prices", "report", "tenants", "localities", "skus"):
-        for facts in ({k: v for k, v in full.items() if k != key}, full | {key: None}):
-            settings_from(facts)
+        for document in ({k: v for k, v in full.items() if k != key}, full | {key: None}):
+            settings_from(document)
     for key in ("dedupScope", "memorySpanUs", "lateWorth", "aimStretch"):
         changes: tuple[dict[str, Any], ...] = ({}, {key: None})
         for change in changes:
-            first = {k: v for k, v in full["profiles"][0].items() if k != key} | change
-            cls = settings_from(full | {"profiles": [first]}).classes[0]
-            assert cls.dedup_scope is DedupScope.ALL
-            assert cls.late_weight == 0.0
+            profile = {k: v for k, v in full["profiles"][0].items() if k != key} | change
+            request_class = settings_from(full | {"profiles": [profile]}).classes[0]
+            assert request_class.dedup_scope is DedupScope.ALL
+            assert request_class.late_weight == 0.0
 
 
-def test_a_configuration_without_a_list_starts_with_none(tmp_path: Path) -> None:
+def test_a_configuration_without_a_list_starts_with_an_empty_one(tmp_path: Path) -> None:
     doc = config_doc(9, [])
     del doc["known"]
     config = load_config(tmp_path, doc, Clock())
@@ -71,13 +71,13 @@
 
 
 @pytest.mark.parametrize(
-    ("within_us", "told_us"), [(0, 6 * SECOND), (9 * SECOND, 6 * SECOND), (SECOND, SECOND)]
+    ("configured_us", "notified_after_us"), [(0, 6 * SECOND), (9 * SECOND, 6 * SECOND), (SECOND, SECOND)]
 )
-def test_the_calls_that_must_fit_in_before_a_list_counts_as_told(
-    tmp_path: Path, within_us: int, told_us: int
+def test_the_timeout_of_list_calls_fits_into_the_time_until_changes_count_as_notified(
+    tmp_path: Path, configured_us: int, notified_after_us: int
 ) -> None:
     doc = config_doc(9, [])
-    doc["settings"]["rules"]["askWithinUs"] = within_us
+    doc["settings"]["rules"]["askWithinUs"] = configured_us
     settings = load_config(tmp_path, doc, Clock()).settings
-    assert settings.notified_after_us == told_us
-    assert settings.list_call_timeout_us == min(int(CALL_TIMEOUT_S * SECOND), told_us // 3)
+    assert settings.notified_after_us == notified_after_us
+    assert settings.list_call_timeout_us == min(int(CALL_TIMEOUT_S * SECOND), notified_after_us // 3)
