--- a/nickelmount/agent/agent.py
+++ b/nickelmount/agent/agent.py
@@ -1,20 +1,21 @@
-"""The agent's core: the only caller of the balancer. Events go in, and its actions are carried out.
-
-Who owns what, and where each ends exactly once:
-
-- A request is pending from `accept` until `_close_request`, the only place that removes it from `_pending`.
-  That happens with its final answer (`_answer`) or when its client disconnects (`client_disconnected`).
-  Attempts that are still in flight are cancelled there, before the answer is sent. Nothing is sent for it
-  afterwards.
-- An attempt belongs to its Exchange from `_send_attempt` until the exchange has ended, and is in `_in_flight`
-  as long. The balancer counts attempts by AttemptEnded, so each SendAttempt leads to exactly one:
-  `_on_attempt_end` posts it, called by `_on_exchange_end` or, where no exchange was started, by
-  `_end_unsent`.
-- A connection to an endpoint belongs to an exchange or to the connection pool; see connection_pool.
-- A connection to a client belongs to the listener. A pending request reaches it only through
-  `ClientRequest.respond`.
+"""The agent's core: passes events to the balancer and carries out the actions that it returns.
+
+Within an agent, only this module calls the balancer. It handles events one at a time, in their order of
+arrival; see `_dispatch`.
 
-Events are handled one at a time in order of arrival; see `_dispatch`.
+Each object has one owner and ends exactly once:
+
+- A request is pending from `accept` until `_close_request`, which is the only method that removes a request
+  from `_pending`. A request is closed when its final answer is given (`_answer`) or when its client
+  disconnects (`client_disconnected`). `_close_request` cancels the attempts that are still in flight. This
+  happens before the answer is sent, and nothing is sent to an endpoint for the request afterwards.
+- An attempt belongs to its Exchange, and is in `_in_flight`, from `_send_attempt` until the exchange has
+  ended. The balancer counts attempts by their AttemptEnded events, so each SendAttempt must lead to exactly
+  one. `_on_attempt_end` dispatches it. It is called by `_on_exchange_end`, or by `_end_unsent` if no exchange
+  was started.
+- A connection to an endpoint belongs to an exchange or to the connection pool; see connection_pool.
+- A connection to a client belongs to the listener. The agent reaches it only by calling
+  `ClientRequest.respond` of a pending request.
 """
 
 from __future__ import annotations
@@ -63,11 +64,11 @@
 
 log = logging.getLogger(__name__)
 
-# The balancer gives the final answer before a request's timeout is over. If a fault keeps it from that, the
-# agent answers so much later itself: the protocol allows 50 ms.
+# The balancer gives the final answer before a request's timeout expires. If a fault prevents that, the agent
+# gives the answer itself, this long after the timeout. The protocol allows 50 ms.
 FALLBACK_ANSWER_DELAY_S = 0.025
 
-NO_REQUEST_ID = 0  # request ids count from 1
+NO_REQUEST_ID = 0  # The id of no request, because request ids start at 1.
 
 
 @dataclass(slots=True, eq=False)
@@ -75,12 +76,15 @@
     """A request that has no final answer yet."""
 
     client_request: ClientRequest
-    fallback_timer: asyncio.TimerHandle  # answers in place of a balancer that does not
-    attempt_count: int = 0  # attempts that were started so far, ended ones included
+    fallback_timer: asyncio.TimerHandle  # Answers the request if the balancer does not.
+    attempt_count: int = 0  # Number of attempts started so far, including those that have ended.
 
 
 class Agent:
-    """Hands events to the balancer and carries out its actions. Runs on one event loop, without threads."""
+    """The core of an agent, which passes events to the balancer and carries out its actions.
+
+    It runs on one event loop, without threads.
+    """
 
     def __init__(
         self, balancer: Balancer, clock: Clock, upstream: Upstream, discovery: DiscoveryClient
@@ -88,10 +92,11 @@
         self._balancer, self._clock = balancer, clock
         self._upstream, self._discovery = upstream, discovery
         self._loop = asyncio.get_running_loop()
-        self._pending: dict[int, PendingRequest] = {}  # by request id
-        self._in_flight: dict[tuple[int, int], Exchange] = {}  # by request id and attempt
+        self._pending: dict[int, PendingRequest] = {}  # The key is the request id.
+        # The key is the request id and the attempt number.
+        self._in_flight: dict[tuple[int, int], Exchange] = {}
         self._accepted_count = 0
-        self._events: deque[Event] = deque()  # not handled yet
+        self._queued_events: deque[Event] = deque()
         self._is_dispatching = False
         self._executors: dict[type, Callable[[Any], None]] = {
             SendAttempt: self._send_attempt,
@@ -107,17 +112,17 @@
 
     @property
     def upstream(self) -> Upstream:
-        """The endpoints that the agent knows."""
+        """The side of the agent towards endpoints, with all endpoints that it knows."""
         return self._upstream
 
     @property
     def accepted_count(self) -> int:
-        """How many requests were accepted since the start."""
+        """The number of requests accepted since the start."""
         return self._accepted_count
 
     @property
     def pending_count(self) -> int:
-        """How many requests have no final answer yet."""
+        """The number of requests that have no final answer yet."""
         return len(self._pending)
 
     @property
@@ -126,21 +131,21 @@
         return tuple(self._in_flight.values())
 
     def start(self, cached_list: EndpointList) -> None:
-        """Begin with the endpoint list that was cached; the balancer then asks for the current one."""
+        """Give the balancer the cached endpoint list; the balancer then asks for the current one."""
         self._dispatch(EndpointsChanged(ListUpdateKind.CACHED, self._upstream.apply(cached_list)))
 
     def change_discovery(self, address: Address) -> None:
-        """Use the discovery at this address from now on."""
+        """Call discovery at this address from now on."""
         self._discovery.change_address(address, self.on_endpoint_list)
 
-    # Requests: accepted, answered, closed
+    # Requests
 
     def accept(self, request: ClientRequest) -> None:
-        """Become responsible for a request: it gets one final answer unless its client disconnects."""
+        """Take over a request, which gets one final answer unless its client disconnects."""
         self._accepted_count += 1
         request_id = request.request_id = self._accepted_count
         fallback_timer = self._loop.call_later(
-            request.timeout_us / 1e6 + FALLBACK_ANSWER_DELAY_S, self._answer_overdue, request_id
+            request.timeout_us / 1e6 + FALLBACK_ANSWER_DELAY_S, self._on_fallback_timer, request_id
         )
         self._pending[request_id] = PendingRequest(request, fallback_timer)
         self._dispatch(
@@ -155,40 +160,43 @@
         )
 
     def client_disconnected(self, request: ClientRequest) -> None:
-        """Close a request whose client has disconnected; harmless if it is closed already."""
+        """Close a request whose client has disconnected; do nothing if it is closed already."""
         if self._close_request(request.request_id) is not None:
             self._dispatch(ClientDisconnected(request.request_id))
 
-    def finish_all(self) -> None:
-        """Answer every pending request at once: rejected if no attempt was started, else failed."""
+    def answer_all_pending(self) -> None:
+        """Answer every pending request now: as rejected if no attempt was started, otherwise as failed."""
         for request_id, pending in list(self._pending.items()):
             if pending.attempt_count:
                 self._answer_failed(request_id)
-            else:  # nothing of it was sent, so trying again is harmless
+            else:  # Nothing of the request was sent, so the client may safely send it again.
                 self._answer(request_id, 503, [], REJECTED_BODY)
                 self._dispatch(ClientDisconnected(request_id))
 
-    def _answer_overdue(self, request_id: int) -> None:
-        log.error("request %d: the balancer gave no answer in time", request_id)
+    def _on_fallback_timer(self, request_id: int) -> None:
+        log.error("request %d: the balancer gave no final answer before the timeout", request_id)
         self._answer_failed(request_id)
 
     def _answer_failed(self, request_id: int) -> None:
-        """Answer in place of the balancer, if the request is pending. "Failed" promises nothing."""
+        """Answer in place of the balancer that a request has failed, if it is pending.
+
+        This answer leaves open whether an endpoint has run the request.
+        """
         if request_id in self._pending:
             self._answer(request_id, 500, [], FAILED_BODY)
             self._dispatch(ClientDisconnected(request_id))
 
     def _answer(self, request_id: int, status: int, headers: Headers, body: bytes) -> None:
-        """Give the final answer, unless the request is closed."""
+        """Give the final answer to a request, unless it is closed."""
         pending = self._close_request(request_id)
         if pending is not None:
             pending.client_request.respond(pending.client_request, status, headers, body)
 
     def _close_request(self, request_id: int) -> PendingRequest | None:
-        """Cancel what is in flight for a request and forget it; None if that has happened before.
+        """Remove a request and cancel its attempts in flight; return None if it is closed already.
 
-        Called before the answer is sent: a client that has its answer may send the request again, and the
-        endpoints must have seen the earlier attempts closed by then.
+        This is called before the answer is sent. A client that has its answer may send the request again,
+        and by then the endpoints must have seen that the earlier attempts are closed.
         """
         pending = self._pending.pop(request_id, None)
         if pending is not None:
@@ -201,19 +209,19 @@
     # Events to the balancer
 
     def _dispatch(self, event: Event) -> None:
-        """Handle an event, or queue it while another is being handled.
+        """Handle an event, or queue it if another event is being handled.
 
-        An action may end at once, for example an attempt for which no connection may be opened. Its event
-        would then reach the balancer while the other actions of the same decision still wait: they would be
-        carried out after those of a later decision.
+        What an action starts may end while the action is being carried out, for example an attempt for which
+        no connection may be opened. If the balancer got that event at once, the remaining actions of the
+        current decision would be carried out after those of a later decision.
         """
-        self._events.append(event)
+        self._queued_events.append(event)
         if self._is_dispatching:
             return
         self._is_dispatching = True
         try:
-            while self._events:
-                self._handle_event(self._events.popleft())
+            while self._queued_events:
+                self._handle_event(self._queued_events.popleft())
         finally:
             self._is_dispatching = False
 
@@ -221,9 +229,9 @@
         try:
             actions = self._balancer.handle(self._clock.now(), event)
         except Exception:
-            # Catches all: a fault of the balancer must cost no more than the request of this event, which is
-            # still owed its answer. Other requests go on.
-            log.exception("the balancer failed on %s", type(event).__name__)
+            # All exceptions are caught, because a fault of the balancer must affect no request except that of
+            # this event. That request still has to be answered.
+            log.exception("the balancer could not handle event %s", type(event).__name__)
             self._answer_failed(getattr(event, "request_id", NO_REQUEST_ID))
             return
         for action in actions:
@@ -235,9 +243,9 @@
         try:
             self._executors[type(action)](action)
         except Exception:
-            # Catches all: the other actions of this decision must be carried out, the request is owed its
-            # answer, and an attempt without an end would count as in flight for ever.
-            log.exception("could not carry out %s", type(action).__name__)
+            # All exceptions are caught: the other actions of this decision must still be carried out, the
+            # request has to be answered, and an attempt without an end would count as in flight for ever.
+            log.exception("could not carry out action %s", type(action).__name__)
             self._answer_failed(getattr(action, "request_id", NO_REQUEST_ID))
             if isinstance(action, SendAttempt) and (action.request_id, action.attempt) not in self._in_flight:
                 self._end_unsent(action)
@@ -245,11 +253,12 @@
     def _send_attempt(self, action: SendAttempt) -> None:
         pending = self._pending.get(action.request_id)
         if pending is None:
-            # The request was closed while events were queued, after the balancer had decided on this attempt.
+            # The request was closed after the balancer had decided on this attempt, while events were queued.
             return self._end_unsent(action)
         request = pending.client_request
         if request.has_client_disconnected():
-            # The close is in the kernel and not read yet: the event loop was busy with other connections.
+            # The kernel knows of the close, but the event loop has not read it yet because it was busy with
+            # other connections.
             self.client_disconnected(request)
             return self._end_unsent(action)
         pending.attempt_count = action.attempt + 1
@@ -269,12 +278,13 @@
         if not exchange.has_ended:
             self._in_flight[action.request_id, action.attempt] = exchange
         if action.write_within_us:
-            self._limit_writing(action)
+            self._limit_write_time(action)
 
-    def _limit_writing(self, action: SendAttempt) -> None:
-        """Bound when this attempt, and earlier ones of the request, may still be sent.
+    def _limit_write_time(self, action: SendAttempt) -> None:
+        """Apply `write_within_us` to this attempt and to the earlier ones of the request.
 
-        If this one runs first, an earlier one whose connection is established only later is the repeat.
+        The limit keeps a repeat within the window in which endpoints drop repeats. It covers earlier attempts
+        too: if this attempt runs first, an earlier one whose connection is established later is the repeat.
         """
         for attempt in range(action.attempt + 1):
             if (action.request_id, attempt) in self._in_flight:
@@ -290,7 +300,7 @@
         self._on_attempt_end(action, ExchangeResult(Outcome.NOT_SENT, latency_us=0))
 
     def _on_attempt_end(self, action: SendAttempt, result: ExchangeResult) -> None:
-        """Answer the client if the attempt succeeded, and report its end to the balancer."""
+        """Answer the client if the attempt succeeded, and report the attempt's end to the balancer."""
         if result.outcome is Outcome.OK:
             headers = [("Content-Type", result.content_type)] if result.content_type else []
             self._answer(action.request_id, 200, headers, result.body)
@@ -336,11 +346,11 @@
         self._discovery.fetch(self.on_endpoint_list)
 
     def on_endpoint_list(self, endpoint_list: EndpointList | None) -> None:
-        """Take in an answer of discovery; None: the call failed, or the watch broke."""
+        """Apply an answer of discovery; None means that the call failed or that the watch broke."""
         if endpoint_list is None:
             self._dispatch(EndpointsChanged(ListUpdateKind.FAILED, []))
             return
-        # Of a complete list, too, the balancer gets only what it changes.
+        # The balancer gets only the endpoints that have changed, even if the list is complete.
         changed = self._upstream.apply(endpoint_list)
         self._dispatch(EndpointsChanged(ListUpdateKind.DELTA, changed))
 
--- a/nickelmount/agent/downstream.py
+++ b/nickelmount/agent/downstream.py
@@ -1,27 +1,27 @@
-"""One connection of a client: requests are read from it one at a time, and their answers written to it.
+"""A connection of a client: reads one request at a time and writes its answer.
 
 A connection is in one of these states (ClientState):
 
-- IDLE: nothing of a request has arrived since it was opened, or since its last answer.
-- READING: a request has begun to arrive and is not complete.
-- IN_FLIGHT: a complete request is with the handler, which answers it. Bytes that arrive meanwhile, but for
-  line ends, are a pipelined request: they are dropped, and an error follows the answer.
-- LINGERING: the last answer was sent, with Connection: close, and the sending side is closed. What still
-  arrives is read and dropped until the client closes. If it were closed with unread bytes, the kernel would
-  reset it, and the client could lose the answer.
+- IDLE: no byte of a request has arrived since the connection was opened, or since its last answer.
+- READING: a part of a request has arrived.
+- IN_FLIGHT: a complete request is with the handler, which will answer it. If bytes other than line ends
+  arrive in this state, they are a pipelined request: they are dropped, and an error follows the answer.
+- LINGERING: the last answer was sent with Connection: close, and the sending side is closed. Bytes that still
+  arrive are read and dropped until the client closes. If the agent closed the connection while bytes are
+  unread, the kernel would reset it, and the client could lose the answer.
 
-    IDLE -> READING -> IN_FLIGHT -> IDLE       the answer allows a further request
+    IDLE -> READING -> IN_FLIGHT -> IDLE       the answer allows another request
                        IN_FLIGHT -> LINGERING  the client asked for a close, it sent a pipelined request,
                                                or the agent is draining
-    IDLE, READING -> LINGERING                 malformed input, or READING took too long
-    any -> closed                              by the client, or by the listener
+    IDLE, READING -> LINGERING                 the input is malformed, or READING took too long
+    any -> closed                              the client or the listener closes the connection
 
-A request that arrives complete at once skips READING. One that needs no handler (the health check, a request
-that is not valid) is answered at once and skips IN_FLIGHT.
+A request that arrives in one piece skips READING. A request that needs no handler (a health check or an
+invalid request) is answered at once and skips IN_FLIGHT.
 
-A client that closes its sending side counts as disconnected, since a half-close cannot be told from a close.
-The handler drops the request in flight (RequestHandler.client_disconnected), and asyncio closes the
-connection.
+A client that closes only its sending side counts as disconnected, because the agent cannot tell a half-close
+from a close. The handler then drops the request in flight (RequestHandler.client_disconnected), and asyncio
+closes the connection.
 """
 
 from __future__ import annotations
@@ -41,13 +41,13 @@
 from .http import Headers, HttpMessage, HttpReader, encode_response
 from .request_validation import ClientRequest, RequestValidator
 
-MAX_BODY_BYTES = 64 * 1024  # of a request
+MAX_BODY_BYTES = 64 * 1024  # Limit on the body of a request.
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 CONNECTION_CLOSE = ("Connection", "close")
 
 
 class ClientState(Enum):
-    """What a connection is doing; see the module's docstring."""
+    """The state of a client's connection; the module's docstring describes each state."""
 
     IDLE = "idle"
     READING = "reading"
@@ -57,37 +57,43 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientTimeouts:
-    """How long a connection may stay in a state, in seconds; IN_FLIGHT has the request's own timeout."""
+    """The time limits of the states of a connection, in seconds.
 
-    sweep_interval_s: float = 0.25  # between two looks at all connections: a limit is exceeded by up to this
-    first_byte_s: float = 2.25  # IDLE since the connection was opened
-    request_s: float = 2.25  # READING; for the first request, counted from when the connection was opened
-    linger_s: float = 3.0  # LINGERING
-    evictable_after_s: float = 2.0  # IDLE since an answer; from then on it is closed where a new one needs it
-    keepalive_s: float = 20.0  # IDLE since an answer
+    IN_FLIGHT has none here, because each request has a timeout of its own.
+    """
+
+    # All connections are checked at this interval, so a limit may be exceeded by this much.
+    sweep_interval_s: float = 0.25
+    first_byte_s: float = 2.25  # Limit on IDLE before the first request.
+    # Limit on READING. For the first request it counts from the opening of the connection.
+    request_s: float = 2.25
+    linger_s: float = 3.0  # Limit on LINGERING.
+    # A connection that has been IDLE for this long after an answer may be closed to admit a new connection.
+    evictable_after_s: float = 2.0
+    keepalive_s: float = 20.0  # Limit on IDLE after an answer.
 
 
 class RequestHandler(Protocol):
-    """Answers the requests of clients."""
+    """The object that answers the requests of clients; in an agent this is the Agent."""
 
     def accept(self, request: ClientRequest) -> None:
-        """Become responsible for a request: `request.respond` is to be called once."""
+        """Take over a request and call `request.respond` once, unless its client disconnects."""
 
     def client_disconnected(self, request: ClientRequest) -> None:
-        """Drop a request whose client has disconnected; no answer is due."""
+        """Drop a request whose client has disconnected; it must not be answered."""
 
-    def finish_all(self) -> None:
-        """Answer every request that is in flight at once."""
+    def answer_all_pending(self) -> None:
+        """Answer every request that is in flight now."""
 
 
 class ConnectionHost(Protocol):
-    """What a connection needs of its listener."""
+    """The part of the listener that its connections use."""
 
     handler: RequestHandler
     validator: RequestValidator
-    is_draining: bool  # every answer is the last of its connection
-    is_rejecting: bool  # requests that arrive are rejected
-    open_request_ids: set[bytes]  # of the requests that are in flight on any connection
+    is_draining: bool  # Every answer is the last one on its connection.
+    is_rejecting: bool  # Requests that arrive are rejected.
+    open_request_ids: set[bytes]  # Request-Id of each request that is in flight, on any connection.
 
     def connection_opened(self, client: ClientConnection) -> None:
         """Admit a new connection, or close it."""
@@ -97,20 +103,21 @@
 
 
 class ClientConnection(Connection):
-    """A connection of a client; one request at a time.
+    """A connection of a client, which serves one request at a time.
 
-    Public attributes, to be read only: `has_answered` is whether a request has been answered on it,
-    `is_lingering` whether it is in state LINGERING, `timer_started_at` the time by `now`, in seconds, from
-    which the limit of the present state counts.
+    Public attributes, read-only for other modules: `has_answered` says whether a complete request has been
+    answered on the connection, `is_lingering` whether its state is LINGERING. `timer_started_at` is the time,
+    in seconds by the clock `now`, from which the time limit of the present state counts.
     """
 
     def __init__(self, host: ConnectionHost, now: Callable[[], float]) -> None:
         super().__init__()
         self._host, self._now = host, now
         self._reader = HttpReader(HttpRequestParser, MAX_BODY_BYTES)
-        self._message: HttpMessage | None = None  # the complete request that is still to be answered
-        self._request: ClientRequest | None = None  # the same, while it is with the handler
-        self._has_pipelined_input = False  # more than line ends arrived while a request was in flight
+        self._message: HttpMessage | None = None  # The complete request that has no answer yet.
+        self._request: ClientRequest | None = None  # The same request while the handler has it.
+        # Whether bytes other than line ends arrived while a request was in flight.
+        self._has_pipelined_input = False
         self._continue_sent_for: HttpMessage | None = None
         self.timer_started_at = now()
         self.has_answered = False
@@ -120,7 +127,7 @@
 
     @property
     def state(self) -> ClientState:
-        """What the connection is doing, as far as its bytes have been read."""
+        """The state of the connection according to the bytes that were read from it."""
         if self._request is not None:
             return ClientState.IN_FLIGHT
         if self.is_lingering:
@@ -130,11 +137,14 @@
         return ClientState.IDLE
 
     def is_idle(self) -> bool:
-        """Whether nothing of a request has arrived, not even in the kernel: closing it now loses nothing."""
+        """Whether no byte of a request has arrived, not even in the kernel, so that a close loses nothing."""
         return self.state is ClientState.IDLE and not self.discards_input and self.nothing_to_read()
 
     def has_lingered(self, duration_s: float) -> bool:
-        """Whether its last answer is older than this and all written, and a close would not reset it."""
+        """Whether it has been LINGERING for longer than this and can be closed without a reset.
+
+        This requires that the last answer is written and that the kernel has nothing to read.
+        """
         return (
             self.is_lingering
             and self.all_written
@@ -143,7 +153,10 @@
         )
 
     def time_limit_s(self, timeouts: ClientTimeouts) -> float | None:
-        """How long it may stay as it is, from `timer_started_at`; None: the request's own timeout applies."""
+        """Return the limit on the present state, in seconds from `timer_started_at`.
+
+        None means that the timeout of the request in flight applies.
+        """
         state = self.state
         if state is ClientState.IN_FLIGHT:
             return None
@@ -156,11 +169,11 @@
     def expire(self) -> None:
         """End a connection that has exceeded its time limit."""
         if self.is_lingering or self.discards_input:
-            self.abort()  # nothing is owed any more: the client has not closed after its last answer
+            self.abort()  # The client has been sent its last answer and has not closed the connection.
         elif self._reader.incomplete is not None:
             self._send_error(HttpError(408, "request not complete in time"))
         elif not self.all_written:
-            self.abort()  # the client does not read its answer, and close() would wait until it does
+            self.abort()  # The client does not read its answer, and close() would wait until it does.
         elif self.nothing_to_read():
             self.close()
 
@@ -172,27 +185,27 @@
         self._host.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the listener of the end."""
+        """Tell the listener that the connection has ended."""
         super().connection_lost(exc)
         self._host.connection_closed(self)
 
     def on_data(self, data: bytes) -> None:
-        """Read what the client sent; nothing of a pipelined request is looked at."""
+        """Read bytes from the client; a pipelined request is not parsed."""
         if self._request is not None:
             self._has_pipelined_input = self.discards_input = bool(data.strip(b"\r\n"))
         elif not self.all_written:
-            # The client sends requests and reads no answers: these would pile up in the memory of the agent.
+            # The client sends requests without reading the answers, which would fill the agent's memory.
             self.abort()
         else:
             self._read(data)
 
     def on_handler_error(self) -> None:
-        """Answer that the agent itself failed, if the connection still allows an answer."""
+        """Answer with an internal error, if the connection can still send."""
         self._disconnect_request()
         self._send_error(HttpError(500, "internal error"))
 
     def on_peer_closed(self) -> None:
-        """Drop the request in flight; the client no longer waits for it."""
+        """Drop the request in flight, because its client no longer waits for the answer."""
         self._disconnect_request()
 
     # Requests
@@ -209,14 +222,15 @@
         elif messages:
             self._dispatch(messages[0])
         elif incomplete is not None:
-            if was_idle and self.has_answered:  # the limit of the first request counts from the opening
+            # The limit of the first request counts from the opening of the connection.
+            if was_idle and self.has_answered:
                 self.timer_started_at = self._now()
             self._send_continue_if_expected(incomplete)
 
     def _send_continue_if_expected(self, message: HttpMessage) -> None:
-        """Ask once for the body of a request whose client waits for that before it sends the body."""
+        """Send 100 Continue once for a request whose client waits for it before it sends the body."""
         is_expected = message.headers.get(EXPECT, b"").lower() == b"100-continue"
-        if is_expected and self._reader.in_body and self._continue_sent_for is not message:
+        if is_expected and self._reader.has_read_head and self._continue_sent_for is not message:
             self._continue_sent_for = message
             self.send(CONTINUE_RESPONSE)
 
@@ -234,7 +248,7 @@
             self._accept(message)
 
     def _accept(self, message: HttpMessage) -> None:
-        """Hand a request to the handler, if it is valid and its client is still there."""
+        """Hand a request to the handler, if it is valid and its client has not disconnected."""
         try:
             request = self._host.validator.check(message, self._on_answer)
             if request.client_request_id in self._host.open_request_ids:
@@ -243,7 +257,7 @@
             self._send_response(error.status, [], _error_body(error))
             return
         if self.peer_has_closed():
-            self.abort()  # the client disconnected while its request waited in the kernel to be read
+            self.abort()  # The client disconnected before the event loop read its request from the kernel.
             return
         request.has_client_disconnected = self.peer_has_closed
         self._request = request
@@ -251,7 +265,7 @@
         self._host.handler.accept(request)
 
     def _release_request(self) -> ClientRequest | None:
-        """End the state IN_FLIGHT; return the request that was, if any."""
+        """End the state IN_FLIGHT; return the request that was in flight, or None if there was none."""
         request, self._request = self._request, None
         if request is not None:
             self._host.open_request_ids.discard(request.client_request_id)
@@ -265,7 +279,7 @@
     # Answers
 
     def _on_answer(self, request: ClientRequest, status: int, headers: Headers, body: bytes) -> None:
-        """Send the handler's answer; one for a request that is no longer in flight is dropped."""
+        """Send the handler's answer, or drop it if its request is no longer in flight here."""
         if self._request is not request:
             return
         self._release_request()
@@ -274,7 +288,7 @@
             self._send_error(_pipelining_error())
 
     def _send_response(self, status: int, headers: Headers, body: bytes) -> None:
-        """Answer the complete request `_message`."""
+        """Answer the complete request in `_message`."""
         if not self._can_send():
             return
         message, self._message = self._message, None
@@ -288,7 +302,7 @@
             self._linger()
 
     def _send_error(self, error: HttpError) -> None:
-        """Answer bytes that are not, or not yet, a complete request; nothing more is read after that."""
+        """Answer input that is not a complete valid request; nothing more is read afterwards."""
         if self.is_lingering or not self._can_send():
             return
         self.send(encode_response(error.status, [CONNECTION_CLOSE], _error_body(error)))
--- a/nickelmount/agent/http.py
+++ b/nickelmount/agent/http.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 messages: a reader for what arrives, within limits of size, and encoders for what is sent.
+"""HTTP/1.1 messages: a reader that limits their size, and encoders for messages that are sent.
 
-The reader serves both directions: requests of clients, and responses of endpoints and of discovery. The form
-of a message (characters, lengths, Content-Length beside Transfer-Encoding) is checked by llhttp, through
-httptools; its size is checked here.
+The reader serves both directions: requests of clients, and responses of endpoints and of discovery. The
+syntax of a message (characters, lengths, Content-Length together with Transfer-Encoding) is checked by
+llhttp, through httptools; its size is checked here.
 """
 
 from __future__ import annotations
@@ -14,14 +14,15 @@
 
 from nickelmount.errors import HttpError
 
-MAX_HEAD_BYTES = 32 * 1024  # request or status line and header fields; also chunk headers and trailers
-MAX_INTERIM_RESPONSES = 16  # responses with a status of 1xx ahead of the final one
+# Limit on a head (the request or status line and the header fields), on a chunk header and on a trailer.
+MAX_HEAD_BYTES = 32 * 1024
+MAX_INTERIM_RESPONSES = 16  # Limit on the responses with a status of 1xx that precede a final response.
 
 CONTENT_LENGTH = b"content-length"
 TRANSFER_ENCODING = b"transfer-encoding"
 SUPPORTED_VERSIONS = ("1.1", "1.0")
-STATUSES_WITHOUT_BODY = (204, 304)  # and all 1xx
-HEADER_LINE_OVERHEAD_BYTES = 4  # ": " and the line end
+STATUSES_WITHOUT_BODY = (204, 304)  # A response with a status of 1xx has no body either.
+HEADER_LINE_OVERHEAD_BYTES = 4  # A header line contains ": " and CR LF beside its name and value.
 
 Headers = list[tuple[str, str]]
 REASON_PHRASES = {
@@ -42,34 +43,37 @@
 class HttpMessage:
     """A request or a response that was read, or that is being read."""
 
-    method: bytes = b""  # of a request
-    target: bytes = b""  # of a request: path and query
-    status: int = 0  # of a response
-    headers: dict[bytes, bytes] = field(default_factory=dict)  # by name in lower case; the first of each name
-    repeated_headers: set[bytes] = field(default_factory=set)  # names that occur more than once
-    body: bytearray = field(default_factory=bytearray)  # without its transfer coding
-    keep_alive: bool = False  # the sender allows a further message on the connection
+    method: bytes = b""  # Method of a request; empty for a response.
+    target: bytes = b""  # Path and query of a request; empty for a response.
+    status: int = 0  # Status of a response; 0 for a request.
+    # Value of each header field by its name in lower case. If a name is repeated, its first value is kept.
+    headers: dict[bytes, bytes] = field(default_factory=dict)
+    repeated_headers: set[bytes] = field(default_factory=set)  # Names of headers that occur more than once.
+    body: bytearray = field(default_factory=bytearray)  # The body after its transfer coding was decoded.
+    keep_alive: bool = False  # The sender allows another message on the connection.
 
     def header(self, name: bytes) -> str | None:
-        """Return the first value of a header field; its name is given in lower case."""
+        """Return the first value of a header field, or None if it is absent; `name` is in lower case."""
         value = self.headers.get(name)
         return None if value is None else value.decode("latin-1")
 
 
 class HttpReader:
-    """Turns bytes into complete messages. After an error it reads nothing more.
+    """A reader that turns bytes into complete messages; after an error it reads nothing more.
 
-    What is bounded, and the status of the error where it is exceeded:
+    Limits, and the status of the error if one is exceeded:
 
-    - the head, a chunk header and the trailer: MAX_HEAD_BYTES (400);
-    - the body: `max_body_bytes`, by Content-Length before any of it arrives, else as it arrives (413);
-    - interim responses ahead of one final response: MAX_INTERIM_RESPONSES (502).
+    - The head, a chunk header and the trailer have at most MAX_HEAD_BYTES (400).
+    - The body has at most `max_body_bytes` (413). Content-Length is checked before the body arrives; without
+      it, the body is checked as it arrives.
+    - At most MAX_INTERIM_RESPONSES interim responses precede a final response (502).
 
-    A response that would end with its connection is an error (502): one that was cut short could not be told
-    from a complete one.
+    A response whose end would be the end of its connection is an error (502), because a truncated one would
+    look complete.
 
-    Public attributes, to be read only: `incomplete` is the message that has begun and is not complete,
-    `in_body` whether the head of the latest message has been read, `error` why nothing more is read.
+    Public attributes, read-only for other modules: `incomplete` is the message of which only a part has
+    arrived, `has_read_head` says whether the head of the latest message is complete, and `error` is the error
+    that ended the reading.
     """
 
     def __init__(
@@ -78,25 +82,27 @@
         self._parser_type = parser_type
         self._parser = parser_type(self)
         self._max_body_bytes = max_body_bytes
-        self._completed: list[HttpMessage] = []  # not yet returned by feed
-        self._head_bytes = 0  # of the complete lines of the latest head
-        self._unfinished_bytes = 0  # fed without ending a head, or without adding to a body
-        self._total_body_bytes = 0  # of all messages
-        self._interim_responses = 0  # since the last final response
+        self._completed: list[HttpMessage] = []  # Complete messages that `feed` has not returned yet.
+        self._head_bytes = 0  # Size of the complete lines of the latest head.
+        # Number of bytes fed since the present message began, or since a byte of its body was last read.
+        self._unfinished_bytes = 0
+        self._total_body_bytes = 0  # Size of the bodies of all messages together.
+        self._interim_responses = 0  # Number of interim responses since the last final response.
         self.incomplete: HttpMessage | None = None
-        self.in_body = False
+        self.has_read_head = False
         self.error: HttpError | None = None
 
     def feed(self, data: bytes) -> list[HttpMessage]:
-        """Return the messages that these bytes complete; `error` is set if what follows is unreadable."""
+        """Return the messages that these bytes complete; set `error` if the bytes after them are invalid."""
         if self.error is not None:
             return []
         body_bytes_before = self._total_body_bytes
         self._parse(data)
         if self.incomplete is not None:
-            self._limit_unfinished(len(data), has_body=self._total_body_bytes != body_bytes_before)
+            self._limit_unfinished(len(data), body_grew=self._total_body_bytes != body_bytes_before)
         if self.error is not None:
-            self._parser = self._parser_type(self)  # frees the part of a line that the old one has buffered
+            # The old parser is replaced to free the part of a line that it has buffered.
+            self._parser = self._parser_type(self)
         completed, self._completed = self._completed, []
         return completed
 
@@ -105,37 +111,37 @@
             self._parser.feed_data(data)
         except HttpParserUpgrade:
             self.error = HttpError(400, "no other protocol is spoken here")
-            self._completed.clear()  # the request for the upgrade counts as complete
+            self._completed.clear()  # The parser has completed the request that asks for the upgrade.
         except HttpParserError as error:
-            # An HttpError that a callback raised arrives wrapped in a parser error.
+            # An HttpError that a callback has raised arrives here wrapped in a parser error.
             self.error = self.error or HttpError(400, f"malformed message: {error}")
 
-    def _limit_unfinished(self, size: int, has_body: bool) -> None:
-        """Bound what the parser buffers of a line that has not ended.
+    def _limit_unfinished(self, size: int, body_grew: bool) -> None:
+        """Limit the part of a line that the parser buffers.
 
-        It buffers a header line, a chunk header or a trailer until its end arrives, and calls back only then.
-        A peer that never ended the line could make the process use all of its memory.
+        The parser buffers a header line, a chunk header or a trailer until the end of the line arrives, and
+        calls back only then. A peer that never sends the end could use up the memory of the process.
         """
-        self._unfinished_bytes = 0 if has_body else self._unfinished_bytes + size
+        self._unfinished_bytes = 0 if body_grew else self._unfinished_bytes + size
         if self._unfinished_bytes > MAX_HEAD_BYTES:
             self.error = self.error or HttpError(400, "head too large")
 
-    # Callbacks of llhttp, in the order in which they are called. What they raise ends the reading.
+    # Callbacks of llhttp, in the order in which they are called. An exception in a callback stops the parser.
 
     def on_message_begin(self) -> None:
-        """Start a message."""
-        self.incomplete, self.in_body = HttpMessage(), False
+        """Begin a new message."""
+        self.incomplete, self.has_read_head = HttpMessage(), False
         self._head_bytes = self._unfinished_bytes = 0
 
     def on_url(self, url: bytes) -> None:
-        """Add a piece of the target of a request."""
+        """Append a part of the target of a request."""
         assert self.incomplete is not None
         self.incomplete.target += url
         self._limit_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header field; those of a trailer are dropped."""
-        if self.in_body:
+        """Add a header field; the fields of a trailer are dropped."""
+        if self.has_read_head:
             return
         assert self.incomplete is not None
         self._limit_head(len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES)
@@ -146,10 +152,10 @@
             self.incomplete.headers[name] = value
 
     def on_headers_complete(self) -> None:
-        """Check what the head says of the message and of its body."""
+        """Check the version and the length of the body that the head states."""
         message, parser = self.incomplete, self._parser
         assert message is not None
-        self.in_body = True
+        self.has_read_head = True
         if parser.get_http_version() not in SUPPORTED_VERSIONS:
             self._fail(400, "unknown version of HTTP")
         if isinstance(parser, HttpRequestParser):
@@ -157,13 +163,13 @@
         else:
             message.status = parser.get_status_code()
             if _ends_with_connection(message):
-                self._fail(502, "answer of unknown length")
+                self._fail(502, "length of the response body is unknown")
         if int(message.headers.get(CONTENT_LENGTH, 0)) > self._max_body_bytes:
             self._fail(413, "body too large")
         message.keep_alive = parser.should_keep_alive()
 
     def on_body(self, body: bytes) -> None:
-        """Add a piece of the body."""
+        """Append a part of the body."""
         assert self.incomplete is not None
         self.incomplete.body += body
         self._total_body_bytes += len(body)
@@ -171,7 +177,7 @@
             self._fail(413, "body too large")
 
     def on_message_complete(self) -> None:
-        """End the message; an interim response is dropped."""
+        """Complete the message, or drop it if it is an interim response."""
         message, self.incomplete = self.incomplete, None
         assert message is not None
         if not _is_interim(message):
@@ -180,7 +186,7 @@
             return
         self._interim_responses += 1
         if self._interim_responses > MAX_INTERIM_RESPONSES:
-            self._fail(502, "no answer but interim ones")
+            self._fail(502, "too many interim responses")
 
     def _limit_head(self, size: int) -> None:
         self._head_bytes += size
@@ -188,7 +194,7 @@
             self._fail(400, "head too large")
 
     def _fail(self, status: int, message: str) -> None:
-        """Set the error and raise it through the parser, which then stops."""
+        """Set the error and raise it to the parser, which then stops."""
         self.error = HttpError(status, message)
         raise self.error
 
@@ -198,7 +204,7 @@
 
 
 def _ends_with_connection(response: HttpMessage) -> bool:
-    """Whether a response has a body whose length nothing states."""
+    """Whether the body of a response ends only with the connection, because no header states its length."""
     if response.status < 200 or response.status in STATUSES_WITHOUT_BODY:
         return False
     return response.headers.keys().isdisjoint((CONTENT_LENGTH, TRANSFER_ENCODING))
@@ -207,7 +213,7 @@
 def encode_request(
     method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b""
 ) -> bytes:
-    """Return a request in one piece; Content-Length is added, but not to a GET without a body."""
+    """Return the bytes of a request, with Content-Length added unless it is a GET without a body."""
     lines = [b"%s %s HTTP/1.1" % (method, target), *(b"%s: %s" % header for header in headers)]
     if body or method != b"GET":
         lines.append(b"Content-Length: %d" % len(body))
@@ -215,7 +221,7 @@
 
 
 def encode_response(status: int, headers: Headers, body: bytes, omit_body: bool = False) -> bytes:
-    """Return a response in one piece, Content-Length included; to HEAD its body is omitted."""
+    """Return the bytes of a response, with Content-Length added; `omit_body` is for the response to HEAD."""
     fields = "".join(f"{name}: {value}\r\n" for name, value in headers)
     reason = REASON_PHRASES.get(status, "")
     head = f"HTTP/1.1 {status} {reason}\r\n{fields}Content-Length: {len(body)}\r\n\r\n"
--- a/nickelmount/agent/listener.py
+++ b/nickelmount/agent/listener.py
@@ -1,14 +1,17 @@
-"""Listens for clients: which connections are admitted, which are closed, and how the agent shuts down.
+"""The listener for clients: admits and closes their connections, and shuts the agent down gracefully.
 
-Closing a connection at the wrong moment loses a request. A connection is closed for one of three reasons, if
-nothing is in flight on it and the kernel has nothing to read for it:
+Closing a connection at the wrong moment loses a request. A connection is therefore closed only if no request
+is in flight on it and the kernel has nothing to read for it, and only for one of these reasons:
 
-- at the limit on connections, the one that has been idle for longest is closed for a new one;
-- a sweep at fixed intervals closes those that have exceeded the time limit of their state (ClientTimeouts);
-- a graceful shutdown closes idle connections, first once, and later as they fall idle.
+- The limit on connections is reached. The connection that has been idle for the longest time is then closed
+  to admit a new one.
+- The connection has exceeded the time limit of its state (ClientTimeouts). A sweep at fixed intervals closes
+  such connections.
+- The agent shuts down gracefully. It closes all idle connections once, and later each connection that becomes
+  idle.
 
-The sweep also answers 408 to a request that does not arrive completely, and aborts the connection of a client
-that does not read its answer or does not close after its last one.
+The sweep also answers 408 to a request that does not arrive completely, and aborts the connection if a client
+does not read its answer or does not close the connection after its last answer.
 """
 
 from __future__ import annotations
@@ -24,43 +27,50 @@
 from .downstream import ClientConnection, ClientTimeouts, RequestHandler
 from .request_validation import RequestValidator
 
-LISTEN_BACKLOG = 512  # connections that the kernel completes ahead of their accept
-# Admission counts connections only once the event loop has made them. Without this bound a burst of clients
-# could take all descriptors in one iteration, before the first of them is refused.
+LISTEN_BACKLOG = 512  # Limit on connections that the kernel has established and the agent has not accepted.
+# The limit on connections is checked only after asyncio has accepted a connection. Without this second limit,
+# a burst of clients could take all descriptors in one iteration of the event loop, before the first of them
+# is closed again.
 MAX_ACCEPTS_PER_ITERATION = 16
 
-# A client resends a request that is lost to a close, unless it was the first on its connection.
+# A shutdown leaves a new connection open for this long. A client sends a request that was lost to a close
+# again, but not if it was the first request on its connection.
 FIRST_REQUEST_GRACE_S = 0.25
-# A client that has read its last answer closes by itself; after this long the agent closes first.
+# A client that has read its last answer normally closes the connection. After this time the agent may close
+# it first.
 CLIENT_CLOSE_GRACE_S = 0.1
 
 # Graceful shutdown
-DRAIN_POLL_INTERVAL_S = 0.01  # while requests are in flight
-FLUSH_POLL_INTERVAL_S = 0.001  # while the last answers are written
-FLUSH_TIMEOUT_S = 0.05  # for these to be read, and for connections that were made meanwhile to be rejected
+DRAIN_POLL_INTERVAL_S = 0.01  # Poll interval while requests are in flight.
+FLUSH_POLL_INTERVAL_S = 0.001  # Poll interval while the last answers are written.
+# Time for clients to read the last answers, and to reject requests on connections that were opened meanwhile.
+FLUSH_TIMEOUT_S = 0.05
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownTimes:
     """The stages of a graceful shutdown, in seconds from its start."""
 
-    close_idle_after_s: float  # until then idle connections stay, and requests on them are served
-    serve_until_s: float  # until then new connections are served, even if none is left
-    finish_by_s: float  # requests still in flight are then answered without waiting for endpoints
+    close_idle_after_s: float  # Until this time idle connections stay open, and requests on them are served.
+    serve_until_s: float  # The agent serves new connections at least until this time, even if none is open.
+    finish_by_s: float  # Requests that are in flight at this time are answered without waiting for endpoints.
 
 
 class Listener:
-    """Admits connections of clients, and closes them.
+    """The listening socket of an agent and the connections of clients that it has admitted.
 
-    Public attributes: `connections` that are admitted; `open_request_ids`, the Request-Id of each request in
-    flight. While `is_draining`, every answer is the last of its connection and the health check fails;
-    while `is_rejecting`, requests that arrive are rejected.
+    Public attributes: `connections` are the admitted connections, and `open_request_ids` has the Request-Id
+    of each request in flight. While `is_draining` is set, every answer is the last one on its connection, and
+    the health check fails. While `is_rejecting` is set, requests that arrive are rejected.
     """
 
     def __init__(
         self, settings: Settings, handler: RequestHandler, max_connections: int, timeouts: ClientTimeouts
     ) -> None:
-        """Admit up to `max_connections` at once: other descriptors are left for connections to endpoints."""
+        """Create a listener that has at most `max_connections` open at once.
+
+        The limit leaves descriptors for connections to endpoints.
+        """
         self.handler = handler
         self.validator = RequestValidator(settings.classes, settings.tenants)
         self.connections: set[ClientConnection] = set()
@@ -75,9 +85,9 @@
         self._listening_socket: socket.socket | None = None
 
     async def listen(self, address: Address) -> int:
-        """Start accepting connections; return the port, which the system picks where the address says 0.
+        """Start accepting connections and return the port, which the system picks if the address has port 0.
 
-        Raises OSError where the address cannot be bound.
+        Raises OSError if the address cannot be bound.
         """
         listening_socket = socket.create_server((address.host, address.port), backlog=LISTEN_BACKLOG)
         self._listening_socket = listening_socket
@@ -86,14 +96,15 @@
             sock=listening_socket,
             backlog=MAX_ACCEPTS_PER_ITERATION,
         )
-        # asyncio uses its one backlog for the kernel's queue and for the accepts of one iteration. The queue
-        # is set again, or a burst of clients would overflow it and wait for the kernel's retransmission.
+        # asyncio uses `backlog` both as the size of the kernel's queue and as the number of connections that
+        # it accepts in one iteration. The size of the queue is set again here, otherwise a burst of clients
+        # would overflow the queue and wait for a retransmission by the kernel.
         listening_socket.listen(LISTEN_BACKLOG)
         self._sweep()
         return int(listening_socket.getsockname()[1])
 
     def close(self) -> None:
-        """Stop accepting connections and stop the sweep. Connections that are admitted stay."""
+        """Stop accepting connections, and stop the sweep; admitted connections stay open."""
         if self._next_sweep is not None:
             self._next_sweep.cancel()
         if self._server is not None:
@@ -102,7 +113,11 @@
     # Admission
 
     def connection_opened(self, client: ClientConnection) -> None:
-        """Admit a new connection. At the limit an idle one is closed for it, or else the new one."""
+        """Admit a new connection.
+
+        If the limit is reached, an idle connection is closed to admit it. If none can be closed, the new
+        connection is closed instead.
+        """
         if len(self.connections) >= self._max_connections:
             evicted = self._find_evictable()
             if evicted is None:
@@ -117,7 +132,10 @@
         self.connections.discard(client)
 
     def _find_evictable(self) -> ClientConnection | None:
-        """Return the one that has been in its state for longest, of those whose close loses nothing."""
+        """Return the connection that has been in its state for longest and whose close loses nothing.
+
+        None means that no connection can be evicted.
+        """
         now = self._loop.time()
         candidates = [client for client in self.connections if self._is_eviction_candidate(client, now)]
         candidates.sort(key=lambda client: client.timer_started_at)
@@ -127,7 +145,10 @@
         return None
 
     def _is_eviction_candidate(self, client: ClientConnection, now: float) -> bool:
-        """Whether it may be evicted by its age; one that was used of late is likely to be used again."""
+        """Whether the age of the connection allows its eviction.
+
+        A connection that was used a short time ago stays, because it is likely to be used again.
+        """
         return (
             not client.has_answered
             or client.is_lingering
@@ -137,7 +158,7 @@
     # Time limits
 
     def _sweep(self) -> None:
-        """End the connections that have exceeded the time limit of their state, now and at intervals."""
+        """End the connections that have exceeded the time limit of their state; schedule the next sweep."""
         self._next_sweep = self._loop.call_later(self._timeouts.sweep_interval_s, self._sweep)
         now = self._loop.time()
         for client in list(self.connections):
@@ -148,15 +169,16 @@
     # Graceful shutdown
 
     async def shut_down(self, times: ShutdownTimes) -> None:
-        """Shut down in stages; every request that was accepted is answered, unless its client disconnects.
-
-        1. Drain: answers ask clients to close their connections; idle connections stay.
-        2. Close idle connections, and go on serving new ones. A request that crosses the close of its
-           connection is sent again by its client, on a new one.
-        3. Close connections as they fall idle, until none is left, in the accept queue either, or time is up.
-        4. Reject what arrives, answer what is in flight, and let these answers be written and read.
-        5. Stop listening. It is the last step because closing the listening socket resets connections that
-           the kernel has completed and the agent has not accepted.
+        """Shut down in stages and answer every accepted request, unless its client disconnects.
+
+        1. Drain: answers ask clients to close their connections. Idle connections stay open.
+        2. Close idle connections, and go on serving new ones. If a client sends a request while the agent
+           closes the connection, the client sends it again on a new connection.
+        3. Close each connection that becomes idle, until no connection is open or in the accept queue, or
+           until `finish_by_s`.
+        4. Reject requests that arrive, answer those in flight, and give clients time to read the answers.
+        5. Stop listening. This is the last step because closing the listening socket resets connections that
+           the kernel has established and the agent has not accepted.
         """
         started_at = self._loop.time()
         self.is_draining = True
@@ -169,13 +191,16 @@
         await self._close_until_empty(finish_at, DRAIN_POLL_INTERVAL_S)
 
         self.is_rejecting = True
-        self.handler.finish_all()
+        self.handler.answer_all_pending()
         await self._close_until_empty(finish_at + FLUSH_TIMEOUT_S, FLUSH_POLL_INTERVAL_S)
 
         self.close()
 
     async def _close_until_empty(self, deadline: float, poll_interval_s: float) -> None:
-        """Close connections as they fall idle, until none is left or the deadline, by the loop's clock."""
+        """Close each connection that becomes idle, until none is left or until the deadline.
+
+        `deadline` is a time in seconds by the clock of the event loop.
+        """
         while (self.connections or self._has_queued_connection()) and self._loop.time() < deadline:
             self._close_idle_connections()
             await asyncio.sleep(poll_interval_s)
@@ -188,11 +213,11 @@
 
     def _can_close(self, client: ClientConnection, now: float) -> bool:
         """Whether a shutdown may close a connection now."""
-        is_fresh = not client.has_answered and now - client.timer_started_at <= FIRST_REQUEST_GRACE_S
-        return (client.is_idle() and not is_fresh) or client.has_lingered(CLIENT_CLOSE_GRACE_S)
+        is_new = not client.has_answered and now - client.timer_started_at <= FIRST_REQUEST_GRACE_S
+        return (client.is_idle() and not is_new) or client.has_lingered(CLIENT_CLOSE_GRACE_S)
 
     def _has_queued_connection(self) -> bool:
-        """Whether a connection waits in the kernel to be accepted."""
+        """Whether the kernel has an established connection that the agent has not accepted."""
         if self._listening_socket is None or self._listening_socket.fileno() < 0:
             return False
         poll = select.poll()
--- a/nickelmount/agent/request_validation.py
+++ b/nickelmount/agent/request_validation.py
@@ -1,18 +1,18 @@
-"""What a client's request must be to be accepted. Any other is answered at once and reaches no endpoint.
+"""The validation of clients' requests. An invalid request is answered at once and reaches no endpoint.
 
-RequestValidator.check goes through these steps in order. The first that fails is what the client is answered,
-each time with status 400:
+RequestValidator.check makes these checks in order. The first one that fails determines the text of the
+answer, whose status is always 400:
 
-1. Host is there.
-2. No header field that a decision depends on is repeated.
+1. Host is present.
+2. No header field on which a decision depends is repeated.
 3. Request-Class names a class of the settings.
-4. The method is that of the class: GET where it is idempotent, else POST.
-5. Request-Id is there and well formed.
-6. Idempotency-Key is there and well formed where the class works with one, and absent elsewhere.
-7. Tenant names a tenant of the settings, if these have any.
-8. Request-Timeout-Ms is a number within its bounds.
+4. The method is that of the class: GET if the class is idempotent, otherwise POST.
+5. Request-Id is present and well-formed.
+6. Idempotency-Key is present and well-formed if the class uses one, and absent otherwise.
+7. Tenant names a tenant of the settings, if the settings have any.
+8. Request-Timeout-Ms is a number from 1 to MAX_TIMEOUT_MS.
 
-Header fields beside these are not checked. Work-Hint counts as absent where it is malformed.
+Other header fields are not checked. A malformed Work-Hint counts as absent.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 MAX_TIMEOUT_MS = 24 * 3600 * 1000
 MAX_NUMBER_DIGITS = 9
-TOKEN = re.compile(rb"[A-Za-z0-9._:~+/=-]{1,128}")  # a well formed Request-Id or Idempotency-Key
+TOKEN = re.compile(rb"[A-Za-z0-9._:~+/=-]{1,128}")  # The form of Request-Id and Idempotency-Key.
 
 FORWARDED_HEADERS = (
     http_names.REQUEST_ID,
@@ -38,7 +38,7 @@
     http_names.TENANT,
     http_names.CONTENT_TYPE,
 )
-# Were one of these repeated, the agent and the endpoint could each go by another of its values.
+# If one of these were repeated, the agent and the endpoint could each use a different one of its values.
 SINGLE_HEADERS = frozenset(
     (
         http_names.HOST,
@@ -53,32 +53,32 @@
 )
 
 HeaderFields = dict[bytes, bytes]
-# Gives the final answer of a request: status, header fields, body.
+# A function that gives a request its final answer: status, header fields and body.
 Respond = Callable[["ClientRequest", int, Headers, bytes], None]
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A request of a client that has passed all checks, and the way to answer it."""
+    """A valid request of a client, and the function that answers it."""
 
-    client_request_id: bytes  # Request-Id, unique among the requests in flight
+    client_request_id: bytes  # Value of Request-Id; unique among the requests in flight.
     method: bytes
-    target: bytes  # path and query
-    headers: list[tuple[bytes, bytes]]  # those that are forwarded to an endpoint
+    target: bytes  # Path and query.
+    headers: list[tuple[bytes, bytes]]  # Header fields that are forwarded to an endpoint.
     body: bytes
-    request_class: int  # index into Settings.classes
-    tenant: int  # index into Settings.tenants; 0 where there are none
-    timeout_us: int  # how long the client waits
-    cost_us: int  # rough work on a standard core; 0: unknown
-    is_retry: bool  # the client asked before and was rejected or not answered
+    request_class: int  # Index into Settings.classes.
+    tenant: int  # Index into Settings.tenants; 0 if the settings have no tenants.
+    timeout_us: int  # The client waits this long for its answer.
+    cost_us: int  # Rough estimate of the work, in microseconds on a standard core; 0 if it is unknown.
+    is_retry: bool  # The client sent the request before, and it was rejected or not answered.
     respond: Respond
-    request_id: int = 0  # the agent's own, set by the handler that accepts the request
-    # Whether the client has disconnected, even if the event loop has not read its close yet.
+    request_id: int = 0  # The agent's own id, set by the handler that accepts the request.
+    # Tells whether the client has disconnected, even if the event loop has not read its close yet.
     has_client_disconnected: Callable[[], bool] = lambda: False
 
 
 class RequestValidator:
-    """Turns an HTTP request into a ClientRequest, by the classes and tenants of the settings."""
+    """The checks that turn an HTTP request into a ClientRequest, for given classes and tenants."""
 
     def __init__(self, classes: tuple[RequestClass, ...], tenants: tuple[Tenant, ...]) -> None:
         self._classes = {
@@ -88,7 +88,7 @@
         self._tenants = {tenant.name.encode(): index for index, tenant in enumerate(tenants)}
 
     def check(self, message: HttpMessage, respond: Respond) -> ClientRequest:
-        """Return the request; raises HttpError with the status and the text that its client is answered."""
+        """Return the valid request; raises HttpError with the status and the text of the client's answer."""
         fields = message.headers
         _check_host(fields)
         _check_single_headers(message.repeated_headers)
@@ -149,7 +149,10 @@
 
 
 def _check_idempotency_key(fields: HeaderFields, idempotency: Idempotency) -> None:
-    """Without its key no endpoint could tell a repeated request from a new one."""
+    """Check that the key is present only if the class uses one; raises HttpError.
+
+    Without the key, an endpoint could not tell a repeated request from a new one.
+    """
     key = fields.get(http_names.IDEMPOTENCY_KEY)
     if idempotency is Idempotency.WITH_KEY:
         is_valid = key is not None and TOKEN.fullmatch(key) is not None
@@ -160,7 +163,7 @@
 
 
 def _number(fields: HeaderFields, name: bytes) -> int | None:
-    """Return a header field as a number; None where it is absent or malformed."""
+    """Return the value of a header field as a number, or None if it is absent or malformed."""
     text = fields.get(name, b"")
     return int(text) if text.isdigit() and len(text) <= MAX_NUMBER_DIGITS else None
 
--- a/tests/recording_handler.py
+++ b/tests/recording_handler.py
@@ -22,5 +22,5 @@
     def client_disconnected(self, request: ClientRequest) -> None:
         self._handler.client_disconnected(request)
 
-    def finish_all(self) -> None:
-        self._handler.finish_all()
+    def answer_all_pending(self) -> None:
+        self._handler.answer_all_pending()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -72,14 +72,14 @@
     tmp_path: Path, request_class: str | None
 ) -> None:
     async with world(tmp_path) as w:
-        finish_all, clients = w.agent.finish_all, list[socket.socket]()
+        answer_all_pending, clients = w.agent.answer_all_pending, list[socket.socket]()
 
         def connect_behind_it() -> None:
-            finish_all()
+            answer_all_pending()
             clients.append(client := socket.create_connection(("127.0.0.1", w.port)))
             client.send(post(request_class) if request_class else HEALTH_CHECK)
 
-        w.agent.finish_all = connect_behind_it  # type: ignore[method-assign]
+        w.agent.answer_all_pending = connect_behind_it  # type: ignore[method-assign]
         await w.server.shut_down(NOW)
         assert (await read_all(clients[0])).startswith(b"HTTP/1.1 503 ")
         assert w.nothing_sent()
