--- a/nickelmount/__init__.py
+++ b/nickelmount/__init__.py
@@ -1,1 +1,1 @@
-"""nickelmount: a client-side load balancing agent, and its decisions as a library."""
+"""nickelmount: a client-side load-balancing agent, whose decisions are also available as a library."""
--- a/nickelmount/__main__.py
+++ b/nickelmount/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the agent: ``python -m nickelmount``."""
+"""Entry point of the agent: ``python -m nickelmount``."""
 
 import sys
 
--- a/nickelmount/agent/__init__.py
+++ b/nickelmount/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent on real sockets, around the decisions of nickelmount.balancer."""
+"""The agent, which connects the decisions of nickelmount.balancer to real sockets."""
--- a/nickelmount/agent/assembly.py
+++ b/nickelmount/agent/assembly.py
@@ -1,6 +1,6 @@
-"""The parts of an agent, put together from its configuration. Nothing here starts anything.
+"""Functions that build an agent from its configuration. They start nothing.
 
-Listener -> Agent -> Balancer          decides
+Listener -> Agent -> Balancer          decides on requests
                   -> Upstream          sends to endpoints, over a ConnectionPool
                   -> DiscoveryClient   keeps the endpoint list up to date
 """
@@ -24,27 +24,30 @@
 from .listener import Listener
 from .upstream import Upstream
 
-# File descriptors for discovery, the listening socket, the log and the event loop, and for the connections
-# that are accepted in one iteration of the event loop before any can be closed.
+# Number of file descriptors reserved for discovery, the listening socket, the log and the event loop, and for
+# the connections that are accepted in one iteration of the event loop before any of them can be closed.
 RESERVED_DESCRIPTORS = 32
-# Of the other descriptors, how many may be connections of clients. A request in flight takes one of these and
-# one to an endpoint; clients also hold idle connections, so that their share is the larger one.
+# Share of the other descriptors that connections of clients may use. A request in flight uses one connection
+# of a client and one to an endpoint. The share of clients is larger because they also hold idle connections.
 CLIENT_CONNECTION_SHARE = 0.55
 
 Client = TypeVar("Client", bound=DiscoveryClient)
 
 
 def assemble(
-    config: Config, clock: Clock, times: ClientTimeouts | None = None, settle_time_us: int = SETTLE_TIME_US
+    config: Config,
+    clock: Clock,
+    timeouts: ClientTimeouts | None = None,
+    settle_time_us: int = SETTLE_TIME_US,
 ) -> tuple[Agent, Listener]:
-    """An agent and its listener; needs a running event loop.
+    """Build an agent and its listener; needs a running event loop.
 
-    `settle_time_us` is how long a connection to an endpoint is left alone after each answer.
+    A connection to an endpoint is not used for `settle_time_us` after each answer.
     """
     max_connections = max(2, config.max_sockets - RESERVED_DESCRIPTORS)
     max_client_connections = max(1, int(CLIENT_CONNECTION_SHARE * max_connections))
     agent = build_agent(config, clock, max_connections - max_client_connections, settle_time_us)
-    listener = Listener(config.settings, agent, max_client_connections, times or ClientTimeouts())
+    listener = Listener(config.settings, agent, max_client_connections, timeouts or ClientTimeouts())
     return agent, listener
 
 
@@ -55,9 +58,9 @@
     settle_time_us: int = SETTLE_TIME_US,
     discovery_client: DiscoveryClient | None = None,
 ) -> Agent:
-    """An agent without a listener; needs a running event loop.
+    """Build an agent without a listener; needs a running event loop.
 
-    Without `discovery_client` it gets one as build_discovery_client makes it.
+    If `discovery_client` is None, build_discovery_client builds one.
     """
     upstream = build_upstream(config, clock, max_upstream_connections, settle_time_us)
     if discovery_client is None:
@@ -68,7 +71,7 @@
 def build_upstream(
     config: Config, clock: Clock, max_upstream_connections: int, settle_time_us: int = SETTLE_TIME_US
 ) -> Upstream:
-    """The side of an agent that faces the endpoints."""
+    """Build the side of an agent towards endpoints."""
     pool = ConnectionPool(
         clock, config.connect_timeout_us, config.idle_timeout_us, max_upstream_connections, settle_time_us
     )
@@ -79,7 +82,10 @@
     config: Config,
     make_client: Callable[[Address, EndpointListParser, int, float, int, Random | None], Client],
 ) -> Client:
-    """A client of the discovery that the configuration names; `make_client` is its class, or makes one."""
+    """Build a client of the discovery that the configuration names.
+
+    `make_client` is the class of the client, or a function that returns one.
+    """
     is_local = config.settings.discovery_is_local
     return make_client(
         config.discovery,
--- a/nickelmount/agent/clock.py
+++ b/nickelmount/agent/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of an agent: monotonic, in integer microseconds."""
+"""The clock of an agent, which is monotonic and counts integer microseconds."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 
 
 class Clock:
-    """Monotonic time, and Unix times translated to it with one fixed offset."""
+    """A monotonic clock that translates Unix times to its own time with a fixed offset."""
 
     def __init__(self) -> None:
-        # Fixed at the start. If it were computed again after a step of the wall clock, one start time of an
-        # endpoint would translate to two, and the balancer would take the running process for a new one.
+        # The offset is computed only once. If it were computed again after a step of the wall clock, the
+        # start time of an endpoint would translate to another value, and the balancer would take the running
+        # process of the endpoint for a new one.
         self._offset_us = time.monotonic_ns() // 1000 - time.time_ns() // 1000
 
     def now(self) -> int:
-        """Monotonic time in microseconds."""
+        """Return the monotonic time in microseconds."""
         return time.monotonic_ns() // 1000
 
     def from_unix_ms(self, ms: int) -> int:
-        """A Unix time in milliseconds as monotonic time in microseconds.
+        """Translate a Unix time in milliseconds to monotonic time in microseconds.
 
-        The same value always gives the same time. 0 stands for long ago and stays 0; no other value gives 0.
+        The same value always gives the same time. 0 means long ago and gives 0. No other value gives 0.
         """
         return (ms * 1000 + self._offset_us or 1) if ms else 0
--- a/nickelmount/agent/config.py
+++ b/nickelmount/agent/config.py
@@ -1,8 +1,8 @@
 """The configuration of an agent, read from the file that RELAY_CONFIG names.
 
-This is the one place where the keys of that file are translated; its `settings` are translated in
-nickelmount.protocol.settings and its `known` list in nickelmount.protocol.endpoint_list. In the environment,
-RELAY_LISTEN and RELAY_DISCOVERY override the file, and RELAY_NAME counts where the file has no name.
+Only this module translates the keys of that file, except that its `settings` are translated in
+nickelmount.protocol.settings and its `known` list in nickelmount.protocol.endpoint_list. The environment
+variables RELAY_LISTEN and RELAY_DISCOVERY override the file. RELAY_NAME is used if the file has no name.
 """
 
 from __future__ import annotations
@@ -23,33 +23,33 @@
 from .discovery_client import CALL_TIMEOUT_S
 
 DEFAULT_MAX_SOCKETS = 1024
-# On sockets a change of the list counts as notified this long after it was made, or earlier if the settings
-# say so.
+# An agent on sockets counts a change of the list as notified this long after it was made, or earlier if the
+# settings say so.
 MAX_NOTIFIED_AFTER_US = 6_000_000
-# Of the time until a change counts as notified, one call may take so much: a call that fails and the next one
-# are then both over in time.
+# A call may take the time until a change counts as notified, divided by this number. A call that fails and
+# the next call then both end within that time.
 CALLS_PER_NOTIFICATION = 3
 NO_ENDPOINTS = {"revision": 0, "complete": True, "members": []}
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All that an agent is given at its start."""
+    """The configuration that an agent gets at its start."""
 
-    name: str  # of this agent, for its log
-    listen: Address  # where clients connect
+    name: str  # Name of the agent in its log.
+    listen: Address  # Address to which clients connect.
     discovery: Address
-    seed: int  # of all random draws
-    max_sockets: int  # file descriptors that this process may hold
-    cached_list: EndpointList  # to begin with; perhaps stale
-    list_parser: EndpointListParser  # for the lists that follow; it has read cached_list
-    settings: Settings  # as they apply on sockets
-    connect_timeout_us: int  # for a connection to an endpoint, or to discovery
-    idle_timeout_us: int  # an endpoint closes a connection that has been idle for so long
+    seed: int  # Seed of all random draws.
+    max_sockets: int  # Number of file descriptors that this process may have open.
+    cached_list: EndpointList  # The endpoint list at the start, which may be stale.
+    list_parser: EndpointListParser  # Parser that has read cached_list and reads the lists that follow.
+    settings: Settings  # The settings as they apply to an agent on sockets.
+    connect_timeout_us: int  # Limit on connecting to an endpoint or to discovery.
+    idle_timeout_us: int  # An endpoint closes a connection that has been idle for this long.
 
 
 def load(env: Mapping[str, str], clock: Clock) -> Config:
-    """Read the file that RELAY_CONFIG names; raises ConfigurationError."""
+    """Read the file that RELAY_CONFIG names; raises ConfigurationError if it cannot be used."""
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigurationError("RELAY_CONFIG is not set")
@@ -61,20 +61,20 @@
 
 
 def reload(env: Mapping[str, str], clock: Clock) -> Config:
-    """Read the file again while running; raises ConfigurationError.
+    """Read the file again in a running agent; raises ConfigurationError if it cannot be used.
 
-    RELAY_DISCOVERY is skipped: a process cannot be given a new environment, so that variable still names the
-    discovery of the start. The address in the file counts.
+    The address of discovery is taken from the file. RELAY_DISCOVERY is ignored, because the environment of a
+    running process cannot be changed and this variable still has the address from the start.
     """
     return load({name: value for name, value in env.items() if name != "RELAY_DISCOVERY"}, clock)
 
 
 def config_from(document: Mapping[str, Any], env: Mapping[str, str], clock: Clock) -> Config:
-    """Translate a document of the form of RELAY_CONFIG's file; raises ConfigurationError."""
+    """Translate the parsed file of RELAY_CONFIG; raises ConfigurationError if a key or value is invalid."""
     try:
-        return _config(document, env, clock)
+        return _translate(document, env, clock)
     except KeyError as error:
-        raise ConfigurationError(f"RELAY_CONFIG: {error} is missing") from None
+        raise ConfigurationError(f"RELAY_CONFIG: key {error} is missing") from None
     except (
         TypeError,
         AttributeError,
@@ -86,7 +86,7 @@
         raise ConfigurationError(f"RELAY_CONFIG: {error}") from None
 
 
-def _config(document: Mapping[str, Any], env: Mapping[str, str], clock: Clock) -> Config:
+def _translate(document: Mapping[str, Any], env: Mapping[str, str], clock: Clock) -> Config:
     deployment = document["settings"]
     allowed = deployment["allowed"]
     parser = EndpointListParser(clock, tuple(deployment.get("localities") or ()))
@@ -97,7 +97,7 @@
         discovery=parse_address(env.get("RELAY_DISCOVERY") or document["discovery"]),
         seed=int(document["seed"], 16),
         max_sockets=int((document.get("limits") or {}).get("sockets") or DEFAULT_MAX_SOCKETS),
-        # Without a list the agent starts with no endpoints, and revision 0 asks for every change there was.
+        # Without a list the agent starts with no endpoints. Revision 0 asks discovery for all changes.
         cached_list=parser.parse(document.get("known") or NO_ENDPOINTS),
         list_parser=parser,
         settings=settings,
@@ -107,14 +107,15 @@
 
 
 def _settings_on_sockets(settings: Settings) -> Settings:
-    """The settings of a deployment as they apply to an agent on sockets.
+    """Return the settings of a deployment as they apply to an agent on sockets.
 
-    - Gossip is off: agents have no channel to each other.
+    - Gossip is off, because agents have no connections to each other.
     - The endpoint list is always polled, because discovery sends nothing unless it is called. PUSH in the
-      settings means that discovery runs on this machine for this agent alone: it answers at once, and calls
-      put no load on a service that others share.
-    - A change counts as notified after MAX_NOTIFIED_AFTER_US at the latest. The balancer plans the delays
-      between calls of the watch with calls that take CALL_TIMEOUT_S, or a third of that time if it is less.
+      settings means that discovery runs on this machine for this agent alone. It then answers at once, and
+      calls put no load on a service that other agents use.
+    - A change counts as notified after MAX_NOTIFIED_AFTER_US at the latest. When the balancer plans the
+      delays between calls of the watch, it assumes that a call takes up to CALL_TIMEOUT_S, or a third of the
+      time until a change counts as notified if that is less.
     """
     notified_after_us = min(settings.notified_after_us, MAX_NOTIFIED_AFTER_US)
     return replace(
--- a/nickelmount/errors.py
+++ b/nickelmount/errors.py
@@ -1,31 +1,31 @@
-"""The errors that this program raises on purpose.
+"""The errors that this program raises itself.
 
-Errors of libraries and of the system are mapped to these at the edge where they occur. The text of each is
-one line for an operator: what went wrong, and where. The balancer, which knows no edge, raises ValueError and
-TypeError where its caller breaks the interface. The fleet tool adds its own to this tree.
+A module that calls a library or the system translates their errors to these. The text of each error is one
+line for an operator, which says what went wrong and where. The balancer calls neither; it raises ValueError
+and TypeError if its caller breaks the interface. The fleet tool derives its own errors from NickelmountError.
 """
 
 from __future__ import annotations
 
 
 class NickelmountError(Exception):
-    """The root of the tree."""
+    """Base class of all errors of this program."""
 
 
 class SettingsError(NickelmountError):
-    """The settings of a deployment do not have the form of the protocol."""
+    """Raised if the settings of a deployment do not have the form that the protocol specifies."""
 
 
 class ConfigurationError(NickelmountError):
-    """The configuration file is missing or cannot be used."""
+    """Raised if the configuration file is missing or cannot be used."""
 
 
 class FrameError(NickelmountError):
-    """The input of the simulator's adapter is not what its wire allows."""
+    """Raised if the simulator's adapter reads input that its protocol does not allow."""
 
 
 class HttpError(NickelmountError):
-    """Bytes that are no HTTP message of use; `status` is the one that a client is answered with."""
+    """Raised for an invalid HTTP message; `status` is the status with which a client is answered."""
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
@@ -33,16 +33,16 @@
 
 
 class DiscoveryError(NickelmountError):
-    """A call to discovery failed."""
+    """Raised if a call to discovery has failed."""
 
 
 class EndpointListError(DiscoveryError):
-    """The answer of discovery is no endpoint list."""
+    """Raised if the answer of discovery is not a valid endpoint list."""
 
 
 class StaleRevisionError(DiscoveryError):
-    """Discovery answered with a revision older than the one that is held."""
+    """Raised if discovery answers with an older revision than that of the list that the agent has."""
 
     def __init__(self, revision: int, held_revision: int | None) -> None:
-        super().__init__(f"revision {revision} is older than {held_revision}")
+        super().__init__(f"revision {revision} is older than the agent's revision {held_revision}")
         self.revision, self.held_revision = revision, held_revision
