--- a/tests/agent_process.py
+++ b/tests/agent_process.py
@@ -1,4 +1,4 @@
-"""The agent as a process of its own, with its configuration file and its log."""
+"""An agent that runs in a separate process, with its configuration file and its log."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 
 
 class AgentProcess:
-    """The agent as a process."""
+    """An agent in a separate process."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / "config.json"
         self._process: asyncio.subprocess.Process | None = None
-        self.port = 0  # where it listens
+        self.port = 0  # The port on which the agent listens; 0 until it has started.
 
     @property
     def process(self) -> asyncio.subprocess.Process:
-        """The process that was started."""
+        """The process of the agent, which must have been started."""
         assert self._process is not None
         return self._process
 
     def write_config(self, text: str) -> None:
         """Replace the configuration file in one step."""
-        new = self._path.with_suffix(".new")
-        new.write_text(text)
-        new.replace(self._path)
+        new_path = self._path.with_suffix(".new")
+        new_path.write_text(text)
+        new_path.replace(self._path)
 
     def write_config_with_discovery(self, document: dict[str, Any], discovery: Peer) -> None:
-        """Write the same configuration with another discovery."""
+        """Write the configuration with the address of another discovery, without a signal to the agent."""
         self.write_config(json.dumps(document | {"discovery": f"127.0.0.1:{discovery.port}"}))
 
     async def start(self, document: dict[str, Any]) -> None:
-        """Return once it listens."""
+        """Start the process, and return when the agent listens."""
         self.write_config(json.dumps(document))
-        # The environment names the first discovery for as long as the process lives.
+        # The environment of the process names its first discovery until it ends.
         env = {**os.environ, "RELAY_CONFIG": str(self._path), "RELAY_DISCOVERY": document["discovery"]}
         self._process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "nickelmount", env=env, stderr=asyncio.subprocess.PIPE
@@ -50,30 +50,30 @@
         self.port = int((await self.wait_for_log_line("listens on")).rpartition(":")[2])
 
     async def wait_for_log_line(self, text: str) -> str:
-        """The next line of its log that contains the text."""
+        """Return the next line of the agent's log that contains the text; fails if the log ends before."""
         assert self.process.stderr is not None
         while text.encode() not in (line := await self.process.stderr.readline()):
-            assert line, "ended"
+            assert line, f"the log ended without a line that contains {text!r}"
         return line.decode()
 
     async def client(self) -> Conversation:
-        """A new connection of a client."""
+        """Open a new connection of a client to the agent."""
         return Conversation(*await asyncio.open_connection("127.0.0.1", self.port))
 
     async def stop(self) -> None:
-        """Shut it down; it must end with exit code 0."""
+        """Shut the agent down gracefully; fails if its exit code is not 0."""
         self.process.send_signal(signal.SIGTERM)
         assert await self.process.wait() == 0
 
     def kill(self) -> None:
-        """End it at once, if it still runs."""
+        """Kill the process if it is still running."""
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
 
 
 @contextlib.asynccontextmanager
 async def agent_process(folder: Path, document: dict[str, Any]) -> AsyncIterator[AgentProcess]:
-    """An agent that listens; a test that fails before the agent has ended leaves no process behind."""
+    """Run an agent that listens, and kill its process at the end of the block if it is still running."""
     agent = AgentProcess(folder)
     try:
         await agent.start(document)
@@ -84,7 +84,7 @@
 
 @contextlib.asynccontextmanager
 async def started_peers(count: int) -> AsyncIterator[list[Peer]]:
-    """Scripted servers, stopped at the end of the block."""
+    """Start scripted servers, and stop them at the end of the block."""
     peers = [await Peer().start() for _ in range(count)]
     try:
         yield peers
@@ -94,5 +94,5 @@
 
 
 def complete_list_body(revision: int, *members: dict[str, Any]) -> bytes:
-    """An answer of discovery."""
+    """Return the body of an answer of discovery with a complete endpoint list."""
     return json.dumps({"revision": revision, "complete": True, "members": members}).encode()
--- a/tests/async_test.py
+++ b/tests/async_test.py
@@ -1,4 +1,4 @@
-"""Tests that are coroutines."""
+"""A decorator for tests that are coroutines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def async_test(
     timeout_s: float = 60.0,
 ) -> Callable[[Callable[Parameters, Coroutine[Any, Any, None]]], Callable[Parameters, None]]:
-    """Run the test in an event loop of its own; it fails if it hangs for longer than timeout_s."""
+    """Run the decorated test in a new event loop; the test fails if it takes longer than `timeout_s`."""
 
     def decorate(test: Callable[Parameters, Coroutine[Any, Any, None]]) -> Callable[Parameters, None]:
         @functools.wraps(test)
--- a/tests/recording_handler.py
+++ b/tests/recording_handler.py
@@ -1,4 +1,4 @@
-"""Records which requests a listener hands to its handler."""
+"""A request handler that records the requests that a listener gives to its handler."""
 
 from __future__ import annotations
 
@@ -8,12 +8,15 @@
 
 
 class RecordingHandler:
-    """Passes everything on to the handler that a listener had, and keeps the requests that it accepted."""
+    """A handler in front of the handler of a listener, which records the accepted requests.
 
-    def __init__(self, server: Listener) -> None:
-        self._handler: RequestHandler = server.handler
+    It installs itself as the listener's handler and passes every call on to the handler that was there.
+    """
+
+    def __init__(self, listener: Listener) -> None:
+        self._handler: RequestHandler = listener.handler
         self.accepted: list[ClientRequest] = []
-        server.handler = self
+        listener.handler = self
 
     def accept(self, request: ClientRequest) -> None:
         self.accepted.append(request)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent between scripted peers: each request gets one answer, and a fault costs one request at most."""
+"""The agent between scripted peers: each request gets one answer, and a fault affects one request at most."""
 
 from __future__ import annotations
 
@@ -47,9 +47,9 @@
         assert setup.backends[0].connections == 1
 
 
-async def status_after_reset(setup: World, cls: str) -> int:
-    """Reset the first attempt, and answer the second one if it comes; return what the client gets."""
-    client = await setup.ask(post(cls))
+async def status_after_reset(setup: World, request_class: str) -> int:
+    """Reset the first attempt, answer the second if there is one, and return the status of the answer."""
+    client = await setup.ask(post(request_class))
     (await setup.request()).peer.reset()
     answer = asyncio.create_task(client.read())
     retry = asyncio.create_task(setup.request())
@@ -61,20 +61,20 @@
     return (await answer).status
 
 
-@pytest.mark.parametrize(("cls", "status"), [(KEYED, 200), (UNSAFE, 502)])
+@pytest.mark.parametrize(("request_class", "status"), [(KEYED, 200), (UNSAFE, 502)])
 @async_test()
-async def test_what_may_have_run_is_retried_only_where_repeats_are_dropped(
-    tmp_path: Path, cls: str, status: int
+async def test_request_that_may_have_run_is_retried_only_if_endpoints_drop_repeats(
+    tmp_path: Path, request_class: str, status: int
 ) -> None:
-    """An endpoint resets the connection after it has got a request, which may have run."""
+    """An endpoint resets the connection after it has received a request, which may have run."""
     async with world(tmp_path, backends=3) as setup:
-        assert await status_after_reset(setup, cls) == status
+        assert await status_after_reset(setup, request_class) == status
         assert setup.nothing_sent()
 
 
 @async_test()
-async def test_a_request_that_surely_never_ran_is_retried_in_every_class(tmp_path: Path) -> None:
-    """An endpoint rejects a request of a class that must not run twice, and says that it has not begun."""
+async def test_a_request_that_has_not_run_is_retried_in_every_class(tmp_path: Path) -> None:
+    """An endpoint rejects a request of a class that must not run twice, and says that it has not started."""
     async with world(tmp_path, backends=3) as setup:
         client = await setup.ask(post(UNSAFE))
         await (await setup.request()).answer(503, b"", Not_Started="1")
@@ -83,7 +83,7 @@
 
 
 @async_test()
-async def test_a_client_that_disconnects_ends_its_attempt(tmp_path: Path) -> None:
+async def test_an_attempt_ends_if_its_client_disconnects(tmp_path: Path) -> None:
     async with world(tmp_path) as setup:
         client = await setup.ask(post())
         message = await setup.request()
@@ -105,7 +105,7 @@
 
 @async_test()
 async def test_a_rejection_says_when_to_retry(tmp_path: Path) -> None:
-    """The endpoint rejects everything. After the attempts that its budget allows the balancer gives up."""
+    """The endpoint rejects every attempt. The balancer rejects the request after its last retry."""
     async with world(tmp_path) as setup:
         client = await setup.ask(post())
         await (await setup.request()).answer()
@@ -123,14 +123,14 @@
         assert float(answer.result().headers["retry-after"]) > 0
 
 
-# Faults of the program itself
+# Faults of the program
 
 
 @async_test()
-async def test_a_fault_of_the_balancer_costs_one_request_at_most(
+async def test_a_fault_of_the_balancer_affects_one_request_at_most(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The balancer raises on the arrival of a request. That one fails, and the next one is served."""
+    """The balancer raises an exception on a request. That request fails, and the next one is served."""
     handle = Balancer.handle
     failed: list[Event] = []
 
@@ -150,10 +150,10 @@
 
 
 @async_test()
-async def test_a_request_that_the_balancer_forgets_is_answered_all_the_same(
+async def test_a_request_without_an_answer_of_the_balancer_is_answered_by_the_agent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The balancer returns no action for a request, not even at its timeout. The agent answers itself."""
+    """The balancer returns no action for a request, not even at its timeout, so that the agent answers."""
     handle = Balancer.handle
     monkeypatch.setattr(
         Balancer,
@@ -170,13 +170,13 @@
 ) -> None:
     """No connection may be opened, so an attempt ends as not sent while its action is being carried out.
 
-    Its end must wait until the other actions of that decision are carried out: the balancer handles one event
-    at a time.
+    The agent must queue that event until the other actions of the same decision have been carried out.
+    Otherwise the balancer would handle an event while it is handling another.
     """
-    balancer_handle, agent_handle = Balancer.handle, Agent._handle_event
+    balancer_handle, agent_handle_event = Balancer.handle, Agent._handle_event
     depth = max_depth = 0
 
-    def record_depth(self: Balancer, now: int, event: Event) -> list[Any]:
+    def record_max_depth(self: Balancer, now: int, event: Event) -> list[Any]:
         nonlocal max_depth
         actions = balancer_handle(self, now, event)
         max_depth = max(max_depth, depth)
@@ -185,10 +185,10 @@
     def count_depth(self: Agent, event: Event) -> None:
         nonlocal depth
         depth += 1
-        agent_handle(self, event)
+        agent_handle_event(self, event)
         depth -= 1
 
-    monkeypatch.setattr(Balancer, "handle", record_depth)
+    monkeypatch.setattr(Balancer, "handle", record_max_depth)
     monkeypatch.setattr(Agent, "_handle_event", count_depth)
 
     async def run() -> None:
@@ -206,13 +206,13 @@
 
 
 @async_test()
-async def test_an_attempt_for_a_request_already_answered_ends_in_the_balancer_too(
+async def test_the_balancer_learns_the_end_of_an_attempt_whose_request_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A request is answered after the balancer has decided on an attempt and before that is carried out.
+    """A request is answered after the balancer has decided on an attempt and before the attempt is started.
 
-    The attempt is not sent. Without an end, the balancer would count it as in flight for ever, and its limit
-    on attempts would in time be used up.
+    The attempt is not sent. If the agent did not report its end, the balancer would count it as in flight for
+    ever, and after some such requests its limit on attempts would be reached.
     """
     handle, agents = Balancer.handle, list[Agent]()
 
@@ -237,10 +237,10 @@
 
 
 @async_test()
-async def test_an_attempt_that_cannot_be_started_ends_in_the_balancer_too(
+async def test_the_balancer_learns_the_end_of_an_attempt_that_cannot_be_started(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Starting an attempt raises. It ends as not sent, and the balancer tries another endpoint."""
+    """Starting an attempt raises an exception. It ends as not sent, and another endpoint gets the request."""
     acquire = ConnectionPool.acquire
     acquire_count = 0
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,7 +1,7 @@
-"""A client disconnects while its request waits: nothing is sent for it, and the balancer forgets it.
+"""Clients that disconnect while their request waits: nothing is sent, and the balancer drops the request.
 
-A request may wait for an endpoint, for its next attempt, for a connection or for a probe. In each test the
-close is in the agent's kernel before the wait ends, and has not been read by the event loop.
+A request may wait for an endpoint, for its next attempt, for a connection or for a probe. In most tests the
+agent's kernel knows of the close before the wait ends, but the event loop has not read it yet.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 )
 
 Disconnect = Callable[[socket.socket], None]
-TIME_TO_ARRIVE_S = 0.3  # within this, a request that is sent nevertheless has arrived
+TIME_TO_ARRIVE_S = 0.3  # A request that was sent by mistake arrives at an endpoint within this time.
 
 
 def by_close(client: socket.socket) -> None:
@@ -49,7 +49,7 @@
 
 
 def by_half_close(client: socket.socket) -> None:
-    client.shutdown(socket.SHUT_WR)  # the same as a close, as far as the agent's kernel is told
+    client.shutdown(socket.SHUT_WR)  # The agent's kernel cannot tell this from a close.
 
 
 WAYS_TO_DISCONNECT = pytest.mark.parametrize(
@@ -59,13 +59,13 @@
 
 
 async def open_idle_connections(setup: World) -> None:
-    """Open one to each endpoint, so that a request is written in the cycle in which it is sent."""
+    """Open an idle connection to each endpoint, so that a request is written without a connect."""
     for listed in complete_list(*setup.backends).entries:
         setup.pool.release(await setup.pool.open(listed), True, listed)
 
 
 async def assert_request_is_closed(setup: World) -> None:
-    """Once the disconnect has been read, nothing is in flight or pending, and nothing more is sent."""
+    """Wait until the disconnect is read, then check that nothing is pending, in flight or sent."""
     while setup.server.connections or setup.server.open_request_ids:
         await asyncio.sleep(0)
     await asyncio.sleep(TIME_TO_ARRIVE_S)
@@ -77,8 +77,8 @@
     assert setup.balancer_in_flight_count == 0
 
 
-async def assert_request_left_no_trace(setup: World) -> None:
-    """The same where nothing was sent: the balancer counts nothing of it against any endpoint either."""
+async def assert_request_closed_without_load(setup: World) -> None:
+    """Check that the request is closed and that the balancer counts no load of it on any endpoint."""
     await assert_request_is_closed(setup)
     assert all(load == 0 for load in setup.balancer_load_by_endpoint())
 
@@ -87,7 +87,7 @@
 async def agent_without_endpoints(
     folder: Path, is_draining: bool = False
 ) -> AsyncIterator[tuple[World, Peer]]:
-    """An agent whose endpoint list is empty, and a peer that the list may name later."""
+    """Run an agent whose endpoint list is empty, and a peer that a later list may name."""
     async with world(folder, backends=0) as setup:
         setup.server.is_draining = is_draining
         peer = await Peer().start()
@@ -95,7 +95,7 @@
         yield setup, peer
 
 
-# While the balancer holds the request back
+# Disconnects while the balancer queues the request
 
 
 @WAYS_TO_DISCONNECT
@@ -104,39 +104,39 @@
 async def test_disconnect_before_the_first_endpoint_is_listed(
     tmp_path: Path, disconnect: Disconnect, is_draining: bool
 ) -> None:
-    """A request waits for any endpoint. One is listed just after the client has disconnected."""
+    """A request waits for an endpoint. One is listed just after the client has disconnected."""
     async with agent_without_endpoints(tmp_path, is_draining) as (setup, peer):
         client = await BlockingClient(setup).accepted()
         client.socket.send(post(UNSAFE))
         await wait_for_accepted(setup, 1)
         client.leave(disconnect)
         setup.agent.on_endpoint_list(complete_list(peer))
-        await assert_request_left_no_trace(setup)
+        await assert_request_closed_without_load(setup)
 
 
 @WAYS_TO_DISCONNECT
 @async_test()
 async def test_disconnect_of_many_clients_at_once(tmp_path: Path, disconnect: Disconnect) -> None:
-    """The same with many: the requests are released one by one, while the closes of all are unread."""
+    """The balancer releases 40 queued requests one by one, while the closes of all clients are unread."""
     async with agent_without_endpoints(tmp_path) as (setup, peer):
         clients = [await BlockingClient(setup).accepted() for _ in range(40)]
-        for i, client in enumerate(clients):
-            client.socket.send(post(UNSAFE, Request_Id=f"9b{i}"))
+        for number, client in enumerate(clients):
+            client.socket.send(post(UNSAFE, Request_Id=f"9b{number}"))
         await wait_for_accepted(setup, 40)
         for client in clients:
             client.leave(disconnect)
         setup.agent.on_endpoint_list(complete_list(peer))
-        await assert_request_left_no_trace(setup)
+        await assert_request_closed_without_load(setup)
 
 
 @STAYS_OR_DISCONNECTS
 @async_test()
-async def test_disconnect_before_a_held_request_is_released_by_its_timer(
+async def test_disconnect_before_a_queued_request_is_released_by_its_timer(
     tmp_path: Path, disconnect: Disconnect | None
 ) -> None:
-    """The balancer holds a request back for a while, and the client disconnects just before the end.
+    """The balancer queues a request, and the client disconnects just before the balancer's timer fires.
 
-    Of a client that stays, the request is sent.
+    If the client stays, the request is sent.
     """
     async with agent_without_endpoints(tmp_path) as (setup, peer):
         await open_idle_connections(setup)
@@ -148,25 +148,25 @@
             client.leave(disconnect)
         setup.fire_next_balancer_timer()
         if disconnect is not None:
-            return await assert_request_left_no_trace(setup)
+            return await assert_request_closed_without_load(setup)
         await peer.requests.get()
         client.socket.close()
 
 
-# Before the request is read
+# Disconnects before the request is read
 
 
 @pytest.mark.parametrize("count", [1, 40])
 @async_test()
 async def test_disconnect_before_the_request_is_read(tmp_path: Path, count: int) -> None:
-    """The event loop finds the request and the close at once."""
+    """The event loop finds the request and the close at the same time."""
     async with world(tmp_path) as setup:
         await open_idle_connections(setup)
         clients = [await BlockingClient(setup).accepted() for _ in range(count)]
-        for i, client in enumerate(clients):
-            client.socket.send(post(Request_Id=f"9b{i}"))
+        for number, client in enumerate(clients):
+            client.socket.send(post(Request_Id=f"9b{number}"))
             client.leave(by_close)
-        await assert_request_left_no_trace(setup)
+        await assert_request_closed_without_load(setup)
 
 
 @pytest.mark.parametrize("count", [1, 40])
@@ -174,7 +174,7 @@
 async def test_disconnect_before_the_connection_is_accepted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, count: int
 ) -> None:
-    """The client connects, sends and closes while its connection is still in the accept queue."""
+    """The client connects, sends a request and closes while its connection is still in the accept queue."""
     async with world(tmp_path) as setup:
         await open_idle_connections(setup)
         connection_opened, accepted = setup.server.connection_opened, list[ClientConnection]()
@@ -184,37 +184,37 @@
             connection_opened(client)
 
         monkeypatch.setattr(setup.server, "connection_opened", count_accepted)
-        for i in range(count):
+        for number in range(count):
             client = socket.create_connection(("127.0.0.1", setup.port))
-            client.send(post(Request_Id=f"9b{i}"))
+            client.send(post(Request_Id=f"9b{number}"))
             client.close()
         while len(accepted) < count:
             await asyncio.sleep(0)
-        await assert_request_left_no_trace(setup)
+        await assert_request_closed_without_load(setup)
 
 
-# Before the next attempt
+# Disconnects before the next attempt
 
 
-def reject(first: Message) -> None:
-    first.peer.writer.write(b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+def reject(request: Message) -> None:
+    request.peer.writer.write(b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 
 
-def lose_connection(first: Message) -> None:
-    first.peer.shut_down_socket()
+def lose_connection(request: Message) -> None:
+    request.peer.shut_down_socket()
 
 
 @WAYS_TO_DISCONNECT
-@pytest.mark.parametrize(("cls", "end_attempt"), [(UNSAFE, reject), (KEYED, lose_connection)])
+@pytest.mark.parametrize(("request_class", "end_attempt"), [(UNSAFE, reject), (KEYED, lose_connection)])
 @async_test()
 async def test_disconnect_before_a_retry(
-    tmp_path: Path, disconnect: Disconnect, cls: str, end_attempt: Callable[[Message], None]
+    tmp_path: Path, disconnect: Disconnect, request_class: str, end_attempt: Callable[[Message], None]
 ) -> None:
     """The first attempt ends, and the client disconnects. The event loop reads the attempt's end first."""
     async with world(tmp_path, backends=2) as setup:
         await open_idle_connections(setup)
         client = await BlockingClient(setup).accepted()
-        client.socket.send(post(cls))
+        client.socket.send(post(request_class))
         end_attempt(await setup.request())
         client.leave(disconnect)
         while setup.agent.pending_count:
@@ -230,11 +230,11 @@
 async def test_disconnect_before_a_hedged_request(tmp_path: Path, disconnect: Disconnect | None) -> None:
     """An attempt is in flight, and the client disconnects just before the hedged request is due.
 
-    Of a client that stays, the hedged request is sent.
+    If the client stays, the hedged request is sent.
     """
     async with world(tmp_path, backends=2, secondCopies=True) as setup:
         await open_idle_connections(setup)
-        setup.set_typical_latency_us(3e6)  # a hedged request is due after thrice as long
+        setup.set_typical_latency_us(3e6)  # The hedged request is due after 3 times this latency.
         client = await BlockingClient(setup).accepted()
         client.socket.send(post())
         first = await setup.request()
@@ -248,7 +248,7 @@
         client.socket.close()
 
 
-# While the agent waits for an endpoint
+# Disconnects while the agent waits for an endpoint
 
 
 @WAYS_TO_DISCONNECT
@@ -259,7 +259,7 @@
 ) -> None:
     """A client disconnects while a connection for its request is being established.
 
-    The connection is handed over after the close was read, or in the cycle before that.
+    The connection is handed over after the event loop has read the close, or in the cycle before.
     """
     async with world(tmp_path) as setup:
         connect = DelayedConnect(setup, monkeypatch)
@@ -274,14 +274,14 @@
         else:
             connect.hand_over()
             client.leave(disconnect)
-        await assert_request_left_no_trace(setup)
+        await assert_request_closed_without_load(setup)
         assert setup.pool.opening_count == 0
 
 
 @WAYS_TO_DISCONNECT
 @async_test()
 async def test_disconnect_during_a_probe(tmp_path: Path, disconnect: Disconnect) -> None:
-    """A request waits for the load of an endpoint. The answer to the probe is read before the close."""
+    """A request waits for an endpoint's load report. The event loop reads the report before the close."""
     async with world(tmp_path, backends=0, probes=True) as setup:
         peer = await Peer(answers_probes=False).start()
         setup.backends.append(peer)
@@ -293,12 +293,12 @@
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LOAD_REPORT)
         probe.peer.writer.write(head + LOAD_REPORT)
         client.leave(disconnect)
-        await assert_request_left_no_trace(setup)
+        await assert_request_closed_without_load(setup)
 
 
 @async_test()
 async def test_disconnect_closes_the_attempt_in_flight(tmp_path: Path) -> None:
-    """A client resets its connection while an endpoint works on its request: that attempt is closed."""
+    """A client resets its connection while an endpoint processes its request. The attempt is closed."""
     async with world(tmp_path) as setup:
         client = await BlockingClient(setup).accepted()
         client.socket.send(post())
