--- a/nickelmount/agent/downstream.py
+++ b/nickelmount/agent/downstream.py
@@ -138,7 +138,7 @@
 
     def is_idle(self) -> bool:
         """Whether no byte of a request has arrived, not even in the kernel, so that a close loses nothing."""
-        return self.state is ClientState.IDLE and not self.discards_input and self.nothing_to_read()
+        return self.state is ClientState.IDLE and not self.discards_input and self.has_nothing_to_read()
 
     def has_lingered(self, duration_s: float) -> bool:
         """Whether it has been LINGERING for longer than this and can be closed without a reset.
@@ -149,7 +149,7 @@
             self.is_lingering
             and self.all_written
             and self._now() - self.timer_started_at > duration_s
-            and self.nothing_to_read()
+            and self.has_nothing_to_read()
         )
 
     def time_limit_s(self, timeouts: ClientTimeouts) -> float | None:
@@ -174,7 +174,7 @@
             self._send_error(HttpError(408, "request not complete in time"))
         elif not self.all_written:
             self.abort()  # The client does not read its answer, and close() would wait until it does.
-        elif self.nothing_to_read():
+        elif self.has_nothing_to_read():
             self.close()
 
     # Called by Connection
