--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -1,4 +1,4 @@
-"""What clients send: a valid request reaches an endpoint, any other input is answered and goes no further."""
+"""Input of clients: a valid request reaches an endpoint; any other input is answered and not forwarded."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
 CHUNKED = post(drop=("Content-Length",), body=b"", Transfer_Encoding="chunked")
 
-# The same bytes are one request by their length, two by their chunks.
+# By Content-Length these bytes are one body. By their chunks they are the end of a body and another request.
 SMUGGLED = b"0\r\n\r\n" + post(body=b"hidden")
 
 INVALID_FIELDS = {
@@ -24,13 +24,13 @@
     "no class": (post(drop=("Request-Class",)), 400),
     "unknown tenant": (post(Tenant="nadie"), 400),
     "no timeout": (post(drop=("Request-Timeout-Ms",)), 400),
-    "timeout 0": (post(timeout_ms="0"), 400),
+    "timeout of 0": (post(timeout_ms="0"), 400),
     "timeout below 0": (post(timeout_ms="-5"), 400),
-    "timeout a word": (post(timeout_ms="soon"), 400),
-    "timeout without bound": (post(timeout_ms="9" * 30), 400),
+    "timeout is not a number": (post(timeout_ms="soon"), 400),
+    "timeout too large": (post(timeout_ms="9" * 30), 400),
     "no id": (post(drop=("Request-Id",)), 400),
-    "keyed without key": (post(KEYED, drop=("Idempotency-Key",)), 400),
-    "unsafe with key": (post(NOT_IDEMPOTENT, Idempotency_Key="5c0f"), 400),
+    "key is missing": (post(KEYED, drop=("Idempotency-Key",)), 400),
+    "key for a class that uses none": (post(NOT_IDEMPOTENT, Idempotency_Key="5c0f"), 400),
     "wrong method": (post().replace(b"POST", b"PUT"), 400),
 }
 
@@ -61,7 +61,7 @@
         400,
     ),
     "body too large": (post(body=b"x" * 65_537), 413),
-    "body far too large": (post(body=b"x" * 8_000_000), 413),  # still being sent when it is answered
+    "body far too large": (post(body=b"x" * 8_000_000), 413),  # It is answered before it is sent completely.
     "chunks too large": (CHUNKED + b"11170\r\n" + b"x" * 70_000 + b"\r\n0\r\n\r\n", 413),
 }
 
@@ -71,7 +71,7 @@
 } | {
     "negative length": (post(drop=("Content-Length",), body=b"", Content_length="-1"), 400),
     "a request hidden in the body": (post(body=SMUGGLED, Transfer_Encoding="chunked"), 400),
-    "chunks that hide one, length last": (
+    "a request hidden in chunks, with a length": (
         post(drop=("Content-Length",), body=SMUGGLED, Transfer_Encoding="chunked", Content_length="5"),
         400,
     ),
@@ -100,90 +100,92 @@
 @pytest.mark.parametrize("name", INVALID_INPUT)
 @async_test()
 async def test_invalid_input_is_answered_and_not_forwarded(tmp_path: Path, name: str) -> None:
-    # Input that the agent and an endpoint read differently could run a request that no client sent, or one
-    # that was answered as failed. It is answered with an error, reaches nobody, and the next request is
-    # served.
+    # If the agent and an endpoint read the same input differently, an endpoint could run a request that no
+    # client sent, or one that was answered as failed. Such input gets an error and is not forwarded. The next
+    # request is served.
     sent, status = INVALID_INPUT[name]
-    async with loopback_setup(tmp_path) as w:
-        handler = RecordingHandler(w.listener)
-        client = await w.send_request(sent)
+    async with loopback_setup(tmp_path) as setup:
+        handler = RecordingHandler(setup.listener)
+        client = await setup.send_request(sent)
         assert (await client.read()).status == status
-        assert not w.listener.open_request_ids
+        assert not setup.listener.open_request_ids
         assert not handler.accepted
-        # The next one is served, here with the largest body that is allowed.
-        client = await w.send_request(post(body=b"x" * 65_536))
-        await (await w.next_request()).answer()
+        # The next request has the largest body that is allowed.
+        client = await setup.send_request(post(body=b"x" * 65_536))
+        await (await setup.next_request()).answer()
         assert (await client.read()).status == 200
-        assert w.nothing_sent()
+        assert setup.nothing_sent()
 
 
 @async_test()
 async def test_health_check_succeeds_while_serving(tmp_path: Path) -> None:
-    async with loopback_setup(tmp_path) as w:
+    async with loopback_setup(tmp_path) as setup:
         for _ in range(2):
-            client = await w.send_request(HEALTH_CHECK)
+            client = await setup.send_request(HEALTH_CHECK)
             assert (await client.read()).status == 200
 
 
 @async_test()
 async def test_pipelined_request_gets_an_error_after_the_answer_in_flight(tmp_path: Path) -> None:
-    # A client sends a second request, and far more, before the first is answered. That must neither be taken
-    # for the body of the first nor fill the memory: the first is served, the second gets an error and reaches
-    # nobody.
-    async with loopback_setup(tmp_path) as w:
-        handler = RecordingHandler(w.listener)
-        client = await w.send_request(post())
-        forwarded = await w.next_request()
+    # A client sends a second request and 8 MB more before its first request is answered. The agent must not
+    # take these bytes for the body of the first request, and must not buffer all of them. The first request
+    # is served. The second gets an error and is not forwarded.
+    async with loopback_setup(tmp_path) as setup:
+        handler = RecordingHandler(setup.listener)
+        client = await setup.send_request(post())
+        forwarded = await setup.next_request()
         client.writer.write(post(Request_Id="9b20") + b"x" * 8_000_000)
-        (connection,) = w.listener.connections
+        (connection,) = setup.listener.connections
         while not connection.discards_input:
             await asyncio.sleep(0)
         await forwarded.answer()
         assert (await client.read()).status == 200
         assert (await client.read()).status == 400
         assert len(handler.accepted) == 1
-        assert w.nothing_sent()
+        assert setup.nothing_sent()
 
 
 @async_test()
 async def test_duplicate_request_id_is_an_error_and_the_first_request_gets_its_answer(tmp_path: Path) -> None:
-    # Two connections use one Request-Id at once. Were both forwarded, the answer of one could be taken for
-    # that of the other. The second gets an error; once the first is answered, the id can be used again.
-    async with loopback_setup(tmp_path) as w:
-        handler = RecordingHandler(w.listener)
-        first = await w.send_request(post())
-        forwarded = await w.next_request()
-        second = await w.send_request(post(body=b"other"))
+    # Two connections use the same Request-Id at the same time. If both requests were forwarded, the answer to
+    # one could be taken for the answer to the other. The second gets an error. After the first request is
+    # answered, the id can be used again.
+    async with loopback_setup(tmp_path) as setup:
+        handler = RecordingHandler(setup.listener)
+        first = await setup.send_request(post())
+        forwarded = await setup.next_request()
+        second = await setup.send_request(post(body=b"other"))
         assert (await second.read()).status == 409
         await forwarded.answer(200, b"first's")
         assert (await first.read()).body == b"first's"
         assert len(handler.accepted) == 1
-        assert w.nothing_sent()
+        assert setup.nothing_sent()
         await second.write(post())
-        await (await w.next_request()).answer()
+        await (await setup.next_request()).answer()
         assert (await second.read()).status == 200
 
 
 @async_test()
 async def test_client_that_expects_100_continue_gets_it(tmp_path: Path) -> None:
-    async with loopback_setup(tmp_path) as w:
+    async with loopback_setup(tmp_path) as setup:
         head, _, body = post(Expect="100-continue").partition(b"\r\n\r\n")
-        client = await w.send_request(head + b"\r\n\r\n")
+        client = await setup.send_request(head + b"\r\n\r\n")
         assert (await client.read()).status == 100
         await client.write(body)
-        await (await w.next_request()).answer()
+        await (await setup.next_request()).answer()
         assert (await client.read()).status == 200
 
 
 @pytest.mark.parametrize("begun", [b"0\r\nX-Trailer: ", b"3\r\njob\r\n0\r\nX-Trailer: ", b"5;extension="])
 @async_test()
-async def test_unending_trailer_or_chunk_header_is_an_error_before_it_fills_the_memory(
+async def test_endless_trailer_or_chunk_header_is_an_error_before_it_fills_the_memory(
     tmp_path: Path, begun: bytes
 ) -> None:
-    # The parser keeps all of a trailer's line: one client with 60 MB took the memory of the whole agent.
-    async with loopback_setup(tmp_path) as w:
-        client = await w.send_request(CHUNKED + begun)
-        (connection,) = w.listener.connections
+    # The parser buffers a whole line of a trailer. A client that sent a line of 60 MB used up the memory of
+    # the agent.
+    async with loopback_setup(tmp_path) as setup:
+        client = await setup.send_request(CHUNKED + begun)
+        (connection,) = setup.listener.connections
         sent_bytes = 0
         while not connection.is_lingering and sent_bytes < 8_000_000:
             await client.write(b"x" * 65536)
@@ -191,4 +193,4 @@
             await asyncio.sleep(0)
         assert (await client.read()).status == 400
         assert sent_bytes < 4_000_000
-        assert w.nothing_sent()
+        assert setup.nothing_sent()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The agent as a process within its limits: descriptors, and processor time until it is ready."""
+"""Limits of an agent process: its file descriptors, and its processor time until it is ready."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
 MAX_DESCRIPTORS = 256
-# Nine agents in ten are to be ready within this time, also on this share of a core.
+# Nine of ten agents must be ready within this time if each gets this share of a core.
 READY_WITHIN_S, CORE_SHARE = 10.0, 0.05
 
 
-async def peer_at(port: int) -> ScriptedServer:
-    """A scripted server at a port that is given."""
-    peer = ScriptedServer()
-    peer.server, peer.port = await asyncio.start_server(peer.serve, "127.0.0.1", port), port
-    return peer
+async def start_server_at(port: int) -> ScriptedServer:
+    """Start a scripted server on the given port."""
+    server = ScriptedServer()
+    server.server, server.port = await asyncio.start_server(server.serve, "127.0.0.1", port), port
+    return server
 
 
 async def connect_idle_clients(agent: AgentProcess, count: int, send_request: bool) -> list[StreamConnection]:
-    """Connections of clients, idle from their start or after one request each."""
+    """Open connections of clients, which are idle from the start or after one request each."""
     clients: list[StreamConnection] = []
     for _ in range(count):
         clients.append(await agent.client())
@@ -40,7 +40,7 @@
 
 
 async def is_served(client: StreamConnection, endpoint: ScriptedServer, request_id: str) -> bool:
-    """Send a request; whether it was answered by way of the endpoint."""
+    """Send a request, answer it if it reaches the endpoint, and return whether the client got status 200."""
     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
         answer = asyncio.create_task(client.read())
         await client.write(post(Request_Id=request_id))
@@ -55,11 +55,11 @@
 
 @pytest.mark.parametrize("send_request", [False, True])
 @async_test(timeout_s=30.0)
-async def test_idle_clients_leave_descriptors_for_what_follows_an_outage_of_discovery(
+async def test_idle_clients_leave_descriptors_for_connections_after_an_outage_of_discovery(
     tmp_path: Path, send_request: bool
 ) -> None:
-    # Clients hold as many idle connections as there are descriptors. The agent still has to reach discovery
-    # after the outage, and an endpoint that it has no connection to yet.
+    # Clients open as many idle connections as there are descriptors. After the outage, the agent must still
+    # connect to discovery, and to an endpoint to which it has no connection yet.
     async with started_peers(3) as (discovery, removed, new):
         document = config_doc(discovery.port, [member("a", removed.port)])
         document["limits"]["sockets"] = MAX_DESCRIPTORS
@@ -73,12 +73,13 @@
             clients = await connect_idle_clients(agent, MAX_DESCRIPTORS, send_request)
             # The agent goes on calling discovery while all these connections are open.
             await agent.wait_for_log_line("call to discovery failed")
-            returned = await peer_at(discovery.port)
+            returned = await start_server_at(discovery.port)
             call = await returned.requests.get()
             await call.answer(200, complete_list_body(42, member("b", new.port)))
             assert "index=42&" in (await returned.requests.get()).start_line
-            # On a connection that stayed, and on a new one. A new one may be closed unread while all places
-            # are in use; then the next is tried.
+            # One request is sent on a connection that stayed open, and one on a new connection. A new
+            # connection may be closed unread while the limit on connections is reached; then the next one is
+            # tried.
             client = next(client for client in clients if not client.peer_has_closed())
             served = 0
             while served < 2:
@@ -93,7 +94,7 @@
 
 
 def processor_time_s(pid: int) -> float:
-    """What a process has used so far, with all of its threads."""
+    """Return the processor time that a process has used in all of its threads."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Connections of clients: time limits, eviction at the limit on connections, start and graceful shutdown."""
+"""Connections of clients: their time limits, their eviction, and the start and shutdown of an agent."""
 
 from __future__ import annotations
 
@@ -29,12 +29,13 @@
 from tests.recording_handler import RecordingHandler
 from tests.test_client_input import CHUNKED, HEALTH_CHECK
 
-# Every limit is exceeded by the next sweep, but for that of a connection that waits for its next request.
+# With these timeouts, the next sweep finds every limit exceeded, except keepalive_s, which limits the time
+# between two requests.
 EXPIRE_AT_ONCE = ClientTimeouts(
     sweep_interval_s=0.005, first_byte_s=0.0, request_s=0.0, linger_s=0.0, evictable_after_s=0.0
 )
-# Of so many sockets 32 are for other uses, and just over half of the rest for clients.
-MAX_BUFFERED_BYTES = 1024  # of answers, in a client
+MAX_BUFFERED_BYTES = 1024  # Limit of a client's read buffer.
+# 32 sockets are reserved for other uses, and 55% of the rest are for clients.
 SOCKETS_FOR_ONE_CLIENT, SOCKETS_FOR_TWO_CLIENTS = 34, 37
 
 
@@ -44,20 +45,20 @@
 
 
 async def connect_and_send(
-    w: LoopbackSetup, data: bytes, client: socket.socket | None = None
+    setup: LoopbackSetup, data: bytes, client: socket.socket | None = None
 ) -> StreamConnection:
-    """Send before the agent can accept: no sweep finds the connection without a byte, and closes it."""
+    """Connect and send before the agent accepts, so that no sweep finds a connection without any byte."""
     client = client or socket.socket()
-    client.connect(("127.0.0.1", w.port))
+    client.connect(("127.0.0.1", setup.port))
     client.sendall(data)
-    conversation = StreamConnection(*await asyncio.open_connection(sock=client, limit=MAX_BUFFERED_BYTES))
-    w.clients.append(conversation)
-    return conversation
+    connection = StreamConnection(*await asyncio.open_connection(sock=client, limit=MAX_BUFFERED_BYTES))
+    setup.clients.append(connection)
+    return connection
 
 
-async def sweep_has_passed(w: LoopbackSetup) -> None:
-    """Wait until a connection on which nothing is sent has been closed by a sweep."""
-    await (await w.client()).wait_for_close()
+async def wait_for_sweep(setup: LoopbackSetup) -> None:
+    """Wait until a sweep has closed a new connection on which nothing is sent."""
+    await (await setup.client()).wait_for_close()
 
 
 # Time limits
@@ -78,11 +79,12 @@
 async def test_incomplete_request_ends_with_an_error_or_a_close(
     tmp_path: Path, begun: bytes, status: int | None
 ) -> None:
-    # A client connects and sends nothing, or a part of a request and no more. Its connection would be
-    # occupied for ever. After a while it is closed; a request that had begun is answered first.
-    async with loopback_setup(tmp_path, timeouts=EXPIRE_AT_ONCE) as w:
-        handler = RecordingHandler(w.listener)
-        client = await connect_and_send(w, begun)
+    # A client connects and sends nothing or only a part of a request. Without a time limit, its connection
+    # would be in use for ever. When the limit is exceeded, a request that has arrived in part gets an error,
+    # and the connection is closed.
+    async with loopback_setup(tmp_path, timeouts=EXPIRE_AT_ONCE) as setup:
+        handler = RecordingHandler(setup.listener)
+        client = await connect_and_send(setup, begun)
         if status is not None:
             assert (await client.read()).status == status
         await client.wait_for_close()
@@ -90,29 +92,29 @@
 
 
 @async_test()
-async def test_request_in_flight_and_kept_connection_do_not_expire_as_incomplete(tmp_path: Path) -> None:
-    # An endpoint answers late, and its client sends the next request late. Neither is a request that does not
-    # arrive: sweeps that close others meanwhile leave this connection open.
-    async with loopback_setup(tmp_path, timeouts=EXPIRE_AT_ONCE) as w:
-        client = await connect_and_send(w, post())
+async def test_request_in_flight_and_idle_connection_do_not_expire_as_incomplete(tmp_path: Path) -> None:
+    # An endpoint answers late, and the client sends its next request late. Sweeps that close other
+    # connections meanwhile leave this connection open, because it has no incomplete request.
+    async with loopback_setup(tmp_path, timeouts=EXPIRE_AT_ONCE) as setup:
+        client = await connect_and_send(setup, post())
         for _ in range(2):
-            forwarded = await w.next_request()
-            await sweep_has_passed(w)
+            forwarded = await setup.next_request()
+            await wait_for_sweep(setup)
             assert not client.peer_has_closed()
             await forwarded.answer()
             assert (await client.read()).status == 200
-            await sweep_has_passed(w)
+            await wait_for_sweep(setup)
             await client.write(post())
-        await (await w.next_request()).answer()
+        await (await setup.next_request()).answer()
 
 
-async def unread_answer(w: LoopbackSetup) -> tuple[StreamConnection, ClientConnection]:
-    """A client that reads nothing, and its connection with an answer that the kernel holds only in part."""
+async def client_with_unread_answer(setup: LoopbackSetup) -> tuple[StreamConnection, ClientConnection]:
+    """Return a client that reads nothing and its connection, whose answer is written only in part."""
     client_socket = socket.socket()
     client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    client = await connect_and_send(w, post(), client_socket)
-    forwarded = await w.next_request()
-    (connection,) = w.listener.connections
+    client = await connect_and_send(setup, post(), client_socket)
+    forwarded = await setup.next_request()
+    (connection,) = setup.listener.connections
     assert connection.transport is not None
     connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     await forwarded.answer(200, b"x" * 500_000)
@@ -124,26 +126,27 @@
 
 @async_test()
 async def test_client_that_sends_requests_and_reads_no_answers_is_disconnected(tmp_path: Path) -> None:
-    # A client sends request after request and reads no answer. The answers would pile up in the agent's
-    # memory: with one still unwritten, the next request ends the connection, and reaches nobody.
-    async with loopback_setup(tmp_path) as w:
-        handler = RecordingHandler(w.listener)
-        client, _ = await unread_answer(w)
+    # A client sends requests without reading the answers, which would fill the agent's memory. If a request
+    # arrives while an answer is not completely written, the agent closes the connection and does not forward
+    # the request.
+    async with loopback_setup(tmp_path) as setup:
+        handler = RecordingHandler(setup.listener)
+        client, _ = await client_with_unread_answer(setup)
         await client.write(post(Request_Id="9b21"))
-        while w.listener.connections:
+        while setup.listener.connections:
             await asyncio.sleep(0)
         assert len(handler.accepted) == 1
-        assert w.nothing_sent()
+        assert setup.nothing_sent()
 
 
 @async_test()
 async def test_connection_whose_answer_is_never_read_expires(tmp_path: Path) -> None:
-    # A client neither reads its answer nor closes. A close that waits for the answer to be written would
-    # never end, and the connection would be occupied for ever: it is aborted.
+    # A client neither reads its answer nor closes the connection. A close that waits until the answer is
+    # written would never end, so the connection is aborted.
     times = replace(EXPIRE_AT_ONCE, sweep_interval_s=0.02, keepalive_s=0.0)
-    async with loopback_setup(tmp_path, timeouts=times) as w:
-        await unread_answer(w)
-        while w.listener.connections:
+    async with loopback_setup(tmp_path, timeouts=times) as setup:
+        await client_with_unread_answer(setup)
+        while setup.listener.connections:
             await asyncio.sleep(0.001)
 
 
@@ -152,40 +155,40 @@
 
 @async_test()
 async def test_longest_idle_connection_is_evicted_at_the_limit(tmp_path: Path) -> None:
-    # More clients connect than there are descriptors for. The connection that was used longest ago makes
-    # room.
+    # More clients connect than there are descriptors for. The connection that has been idle for the longest
+    # time is closed.
     times = replace(EXPIRE_AT_ONCE, sweep_interval_s=60.0)
-    async with loopback_setup(tmp_path, max_sockets=SOCKETS_FOR_TWO_CLIENTS, timeouts=times) as w:
-        first, second = await w.client(), await w.client()
+    async with loopback_setup(tmp_path, max_sockets=SOCKETS_FOR_TWO_CLIENTS, timeouts=times) as setup:
+        first, second = await setup.client(), await setup.client()
         assert await is_healthy(second)
         assert await is_healthy(first)
-        assert await is_healthy(await w.client())
+        assert await is_healthy(await setup.client())
         await second.wait_for_close()
         assert not first.peer_has_closed()
 
 
 @async_test()
-async def test_new_connection_is_closed_where_none_can_be_evicted(tmp_path: Path) -> None:
-    # More clients connect than there are descriptors for, and all connections are in use. A request in
-    # flight must not be lost for a newcomer, and who was just answered is likely to send again: the new one
-    # is closed.
-    async with loopback_setup(tmp_path, max_sockets=SOCKETS_FOR_ONE_CLIENT) as w:
-        client = await w.send_request(post())
-        forwarded = await w.next_request()
-        await (await w.client()).wait_for_close()
+async def test_new_connection_is_closed_if_none_can_be_evicted(tmp_path: Path) -> None:
+    # More clients connect than there are descriptors for, and all connections are in use. The new connection
+    # is closed, because a request in flight must not be lost, and because a client that was answered a short
+    # time ago is likely to send another request.
+    async with loopback_setup(tmp_path, max_sockets=SOCKETS_FOR_ONE_CLIENT) as setup:
+        client = await setup.send_request(post())
+        forwarded = await setup.next_request()
+        await (await setup.client()).wait_for_close()
         await forwarded.answer()
         assert (await client.read()).status == 200
-        # One that was used just now stays, too.
-        await (await w.client()).wait_for_close()
+        # A connection that was just used stays open, too.
+        await (await setup.client()).wait_for_close()
         assert await is_healthy(client)
 
 
 @async_test()
 async def test_connection_without_any_request_is_evicted_at_once(tmp_path: Path) -> None:
-    # A client connects and sends nothing, while another needs the connection.
-    async with loopback_setup(tmp_path, max_sockets=SOCKETS_FOR_ONE_CLIENT) as w:
-        silent = await w.client()
-        assert await is_healthy(await w.client())
+    # A client connects and sends nothing, while another client needs a connection.
+    async with loopback_setup(tmp_path, max_sockets=SOCKETS_FOR_ONE_CLIENT) as setup:
+        silent = await setup.client()
+        assert await is_healthy(await setup.client())
         await silent.wait_for_close()
 
 
@@ -195,7 +198,10 @@
 async def send_until_forwarded(
     agent: AgentProcess, endpoint: ScriptedServer, request: bytes
 ) -> tuple[StreamConnection, Message]:
-    """As clients do, send it again on a new connection where one was closed before it was read."""
+    """Send a request until it is forwarded, each time on a new connection if the last one was closed.
+
+    Clients send a request again if its connection was closed before the agent read the request.
+    """
     while True:
         client = await agent.client()
         await client.write(request)
@@ -211,9 +217,8 @@
 
 @async_test()
 async def test_graceful_shutdown_serves_new_connections_and_loses_no_request(tmp_path: Path) -> None:
-    # The agent is stopped at a planned restart, while requests are in flight and clients still connect. All
-    # are answered, with Connection: close, and an idle connection is closed while new ones are still
-    # served.
+    # The agent gets SIGTERM while requests are in flight and clients still connect. All requests are answered
+    # with Connection: close, and an idle connection is closed while new ones are still served.
     async with started_peers(2) as (discovery, endpoint):
         document = config_doc(discovery.port, [member("s", endpoint.port)])
         async with agent_process(tmp_path, document) as agent:
@@ -236,8 +241,9 @@
 
 @async_test()
 async def test_request_that_no_endpoint_answers_fails_before_the_process_ends(tmp_path: Path) -> None:
-    # An endpoint hangs while the agent is stopped, and the client's timeout is far longer than the deadline
-    # of its class. Before it would be killed, the agent answers that the request has failed, and ends.
+    # An endpoint does not answer while the agent shuts down, and the client's timeout is far longer than the
+    # deadline of its class. The agent answers that the request has failed and ends before it would get
+    # SIGKILL.
     async with started_peers(2) as (discovery, endpoint):
         document = config_doc(discovery.port, [member("s", endpoint.port)])
         for profile in document["settings"]["profiles"]:
@@ -256,7 +262,8 @@
 async def test_invalid_configuration_gives_one_line_and_exit_status_2(
     tmp_path: Path, text: str | None
 ) -> None:
-    # The configuration file is missing, empty, cut short, or not of the form. An operator gets one line.
+    # The configuration file is missing, empty, truncated or of the wrong form. The agent prints one line
+    # about it and ends.
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's embedding example runs as printed."""
+"""The README's example of embedding runs as printed, and files keep to their limits on size."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 def test_modules_stay_small_and_are_listed() -> None:
-    """A reader finds a rule by its file: files stay short, and the deploy file names all that decide."""
+    """Check that the balancer's modules stay short and that balancer.toml lists all of them.
+
+    A reader finds a rule by the file that has it.
+    """
     modules = sorted((ROOT / "nickelmount" / "balancer").glob("*.py"))
     for path in modules:
         lines = path.read_text().splitlines()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown, crossing by crossing: every accepted request gets its one final answer."""
+"""Graceful shutdown: every accepted request gets its final answer, whatever arrives meanwhile."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from tests.event_order import BlockingClient, wait_for_accepted
 from tests.loopback import NOT_IDEMPOTENT, StreamConnection, config_doc, loopback_setup, member, post
 
-NOW = ShutdownTimes(close_idle_after_s=0.0, serve_until_s=0.0, finish_by_s=30.0)
+CLOSE_IDLE_AT_ONCE = ShutdownTimes(close_idle_after_s=0.0, serve_until_s=0.0, finish_by_s=30.0)
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
 async def read_all(client: socket.socket) -> bytes:
-    """All bytes up to a clean close; a reset raises."""
+    """Return all bytes until the peer closes; raises ConnectionResetError if it resets the connection."""
     client.setblocking(False)
     loop, received = asyncio.get_running_loop(), b""
     while data := await loop.sock_recv(client, 65536):
@@ -33,25 +33,25 @@
     return received
 
 
-# Connections without a request
+# Connections on which no request has been sent
 
 
 @async_test()
-async def test_a_connection_just_opened_is_not_closed_under_its_first_request(
+async def test_a_new_connection_is_not_closed_while_its_first_request_is_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(listener_module, "FIRST_REQUEST_GRACE_S", 30.0)
-    async with loopback_setup(tmp_path) as w:
-        fresh = await BlockingClient(w).accepted()
-        idle = await w.send_request(HEALTH_CHECK)
+    async with loopback_setup(tmp_path) as setup:
+        new_client = await BlockingClient(setup).accepted()
+        idle = await setup.send_request(HEALTH_CHECK)
         assert (await idle.read()).status == 200
-        stop = asyncio.create_task(w.listener.shut_down(NOW))
-        await idle.wait_for_close()  # the idle ones have been closed
-        fresh.socket.send(post())
-        await (await w.next_request()).answer()
-        assert (await read_all(fresh.socket)).startswith(b"HTTP/1.1 200 ")
-        fresh.socket.close()
-        await stop
+        shutdown = asyncio.create_task(setup.listener.shut_down(CLOSE_IDLE_AT_ONCE))
+        await idle.wait_for_close()  # From now on idle connections are closed.
+        new_client.socket.send(post())
+        await (await setup.next_request()).answer()
+        assert (await read_all(new_client.socket)).startswith(b"HTTP/1.1 200 ")
+        new_client.socket.close()
+        await shutdown
 
 
 @async_test()
@@ -59,10 +59,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(listener_module, "FIRST_REQUEST_GRACE_S", 0.01)
-    async with loopback_setup(tmp_path) as w:
-        client = await BlockingClient(w).accepted()
+    async with loopback_setup(tmp_path) as setup:
+        client = await BlockingClient(setup).accepted()
         async with asyncio.timeout(10):
-            await w.listener.shut_down(NOW)
+            await setup.listener.shut_down(CLOSE_IDLE_AT_ONCE)
         assert await read_all(client.socket) == b""
 
 
@@ -71,18 +71,18 @@
 async def test_a_connection_in_the_accept_queue_at_the_end_gets_an_answer(
     tmp_path: Path, request_class: str | None
 ) -> None:
-    async with loopback_setup(tmp_path) as w:
-        answer_all_pending, clients = w.agent.answer_all_pending, list[socket.socket]()
+    async with loopback_setup(tmp_path) as setup:
+        answer_all_pending, clients = setup.agent.answer_all_pending, list[socket.socket]()
 
-        def connect_behind_it() -> None:
+        def answer_all_then_connect() -> None:
             answer_all_pending()
-            clients.append(client := socket.create_connection(("127.0.0.1", w.port)))
+            clients.append(client := socket.create_connection(("127.0.0.1", setup.port)))
             client.send(post(request_class) if request_class else HEALTH_CHECK)
 
-        w.agent.answer_all_pending = connect_behind_it  # type: ignore[method-assign]
-        await w.listener.shut_down(NOW)
+        setup.agent.answer_all_pending = answer_all_then_connect  # type: ignore[method-assign]
+        await setup.listener.shut_down(CLOSE_IDLE_AT_ONCE)
         assert (await read_all(clients[0])).startswith(b"HTTP/1.1 503 ")
-        assert w.nothing_sent()
+        assert setup.nothing_sent()
         clients[0].close()
 
 
@@ -90,39 +90,39 @@
 
 
 @async_test()
-async def test_an_answer_is_not_reset_away_by_what_its_client_sent_meanwhile(tmp_path: Path) -> None:
-    async with loopback_setup(tmp_path) as w:
-        client = await BlockingClient(w).accepted()
+async def test_an_answer_is_not_lost_if_its_client_sends_more_before_the_close(tmp_path: Path) -> None:
+    async with loopback_setup(tmp_path) as setup:
+        client = await BlockingClient(setup).accepted()
         client.socket.send(post())
-        request = await w.next_request()
-        w.listener.is_draining = True
-        body = b"x" * 3_000  # one piece: it is read ahead of what the client sends
+        request = await setup.next_request()
+        setup.listener.is_draining = True
+        body = b"x" * 3_000  # The event loop reads this in one piece, before it reads from the client.
         request.connection.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
         request.connection.writer.write(body)
         readable = select.poll()
-        (connection,) = w.listener.connections
+        (connection,) = setup.listener.connections
         client.socket.send(b"\r\n" + post(Request_Id="9b99"))
         assert connection.transport is not None
         readable.register(connection.transport.get_extra_info("socket").fileno(), select.POLLIN)
-        assert readable.poll(10_000)  # it is in the kernel, and has not been read
+        assert readable.poll(10_000)  # The kernel has the client's bytes; the event loop has not read them.
         answer = await read_all(client.socket)
         assert answer.startswith(b"HTTP/1.1 200 ")
         assert body in answer
         client.socket.close()
-        while w.listener.connections:
+        while setup.listener.connections:
             await asyncio.sleep(0)
-        assert w.nothing_sent()
+        assert setup.nothing_sent()
 
 
 @async_test()
-async def test_bytes_behind_a_request_whose_answer_is_the_last_are_no_error(tmp_path: Path) -> None:
-    async with loopback_setup(tmp_path) as w:
-        client = await BlockingClient(w).accepted()
+async def test_bytes_after_a_request_whose_answer_is_the_last_are_no_error(tmp_path: Path) -> None:
+    async with loopback_setup(tmp_path) as setup:
+        client = await BlockingClient(setup).accepted()
         client.socket.send(post())
-        request = await w.next_request()
-        w.listener.is_draining = True
+        request = await setup.next_request()
+        setup.listener.is_draining = True
         client.socket.send(post(Request_Id="9b99"))
-        (connection,) = w.listener.connections
+        (connection,) = setup.listener.connections
         while not connection.discards_input:
             await asyncio.sleep(0)
         await request.answer()
@@ -133,21 +133,21 @@
 
 
 @async_test()
-async def test_an_unfinished_request_is_rejected_if_nothing_was_sent_and_failed_if_it_was(
+async def test_a_pending_request_is_rejected_if_no_attempt_was_sent_and_failed_otherwise(
     tmp_path: Path,
 ) -> None:
-    async with loopback_setup(tmp_path) as w:
-        sent = await w.send_request(post(NOT_IDEMPOTENT))
-        await w.next_request()
-        w.agent.on_endpoint_list(EndpointList(42, True, ()))
-        waiting = await w.send_request(post(NOT_IDEMPOTENT, Request_Id="9b20"))
-        await wait_for_accepted(w, 2)
-        stop = asyncio.create_task(w.listener.shut_down(ShutdownTimes(0.0, 0.0, 0.05)))
+    async with loopback_setup(tmp_path) as setup:
+        sent = await setup.send_request(post(NOT_IDEMPOTENT))
+        await setup.next_request()
+        setup.agent.on_endpoint_list(EndpointList(42, True, ()))
+        waiting = await setup.send_request(post(NOT_IDEMPOTENT, Request_Id="9b20"))
+        await wait_for_accepted(setup, 2)
+        shutdown = asyncio.create_task(setup.listener.shut_down(ShutdownTimes(0.0, 0.0, 0.05)))
         assert (await sent.read()).status == 500
         assert (await waiting.read()).status == 503
         sent.close()
         waiting.close()
-        await stop
+        await shutdown
 
 
 # The process
@@ -155,11 +155,11 @@
 
 @pytest.mark.parametrize("signals", [(signal.SIGHUP,), (signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM)])
 @async_test(timeout_s=20.0)
-async def test_signals_during_a_shutdown_change_nothing_up_to_the_very_end(
+async def test_signals_during_a_shutdown_change_nothing_until_the_process_ends(
     tmp_path: Path, signals: tuple[signal.Signals, ...]
 ) -> None:
-    # The event loop removes its signal handlers when it closes. A signal that arrives after that would kill a
-    # process which has answered everything, and its exit code would be that of the signal.
+    # The event loop removes its signal handlers when it closes. A signal that arrived after that would kill a
+    # process that has answered all requests, and the exit code would be that of the signal.
     async with started_peers(2) as (discovery, endpoint):
         document = config_doc(discovery.port, [member("a", endpoint.port)])
         async with agent_process(tmp_path, document) as agent:
@@ -171,7 +171,8 @@
             async def send_signals() -> None:
                 while agent.process.returncode is None:
                     for number in signals:
-                        # Not by the process object: it would reap the child, and its exit code be lost.
+                        # The signal is sent by os.kill, because the process object would reap the child and
+                        # its exit code would be lost.
                         with contextlib.suppress(ProcessLookupError):
                             os.kill(agent.process.pid, number)
                     await asyncio.sleep(0.0005)
@@ -189,7 +190,7 @@
 
 @pytest.mark.parametrize("first", [signal.SIGHUP, signal.SIGTERM])
 @async_test(timeout_s=20.0)
-async def test_a_shutdown_right_after_a_reload_and_the_other_way_round(
+async def test_a_shutdown_right_after_a_reload_or_right_before_it(
     tmp_path: Path, first: signal.Signals
 ) -> None:
     async with started_peers(3) as (discovery, new, endpoint):
@@ -217,7 +218,7 @@
         for profile in document["settings"]["profiles"]:
             profile["aimUs"], profile["deadlineUs"] = 200_000, 300_000
         async with agent_process(tmp_path, document) as agent:
-            await discovery.requests.get()  # and it is never answered
+            await discovery.requests.get()  # The call is never answered.
             client = await agent.client()
             await client.write(post(NOT_IDEMPOTENT))
             agent.process.send_signal(signal.SIGTERM)
@@ -240,7 +241,7 @@
             await slow_client.write(slow_request[:50])
             agent.process.send_signal(signal.SIGTERM)
             clients: list[StreamConnection] = [slow_client]
-            for number in range(8):  # up to 0.4 s after the signal
+            for number in range(8):  # Clients connect up to 0.4 s after the signal.
                 client = await agent.client()
                 await client.write(post(NOT_IDEMPOTENT, Request_Id=f"9b{number}", timeout_ms="400"))
                 clients.append(client)
@@ -256,16 +257,16 @@
 
 
 @async_test()
-async def test_a_shutdown_answers_all_requests_before_the_kill_though_deadlines_are_long(
+async def test_a_shutdown_answers_all_requests_before_sigkill_if_deadlines_are_long(
     tmp_path: Path,
 ) -> None:
-    # The kill may come 3.7 s after SIGTERM, however long the deadline is; here it is 30 s.
+    # SIGKILL may follow 3.7 s after SIGTERM, whatever the deadline is; here the deadline is 30 s.
     async with started_peers(2) as (discovery, endpoint):
         document = config_doc(discovery.port, [member("a", endpoint.port)])
         async with agent_process(tmp_path, document) as agent:
             client = await agent.client()
             await client.write(post())
-            await endpoint.requests.get()  # and it is never answered
+            await endpoint.requests.get()  # The request is never answered.
             agent.process.send_signal(signal.SIGTERM)
             async with asyncio.timeout(15):
                 assert (await client.read()).status == 500
