--- a/nickelmount/agent/assembly.py
+++ b/nickelmount/agent/assembly.py
@@ -31,7 +31,7 @@
 # of a client and one to an endpoint. The share of clients is larger because they also hold idle connections.
 CLIENT_CONNECTION_SHARE = 0.55
 
-Client = TypeVar("Client", bound=DiscoveryClient)
+DiscoveryClientT = TypeVar("DiscoveryClientT", bound=DiscoveryClient)
 
 
 def assemble(
@@ -80,8 +80,8 @@
 
 def build_discovery_client(
     config: Config,
-    make_client: Callable[[Address, EndpointListParser, int, float, int, Random | None], Client],
-) -> Client:
+    make_client: Callable[[Address, EndpointListParser, int, float, int, Random | None], DiscoveryClientT],
+) -> DiscoveryClientT:
     """Build a client of the discovery that the configuration names.
 
     `make_client` is the class of the client, or a function that returns one.
--- a/nickelmount/agent/lifecycle.py
+++ b/nickelmount/agent/lifecycle.py
@@ -32,19 +32,19 @@
 # process gets SIGKILL 0.7 s after the longest deadline of a request class has passed, where a deadline above
 # 3 s counts as 3 s.
 CLOSE_IDLE_AFTER_S = 0.1  # Idle connections are closed from this time on.
-ACCEPT_UNTIL_S = 0.5  # New connections are served at least until this time.
-# Requests that are still in flight get their final answer this long after the longest deadline.
+SERVE_UNTIL_S = 0.5  # New connections are served at least until this time.
+# Requests that are still in flight get their final answer this long after the longest deadline has passed.
 FINISH_AFTER_DEADLINE_S = 0.6
-MAX_DEADLINE_S = 3.0
+MAX_DEADLINE_S = 3.0  # A longer deadline counts as this.
 
 
 def main() -> int:
     """Run an agent until it is told to stop, and return the exit code of the process."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     clock = Clock()
-    # Until `serve` installs its handler, SIGHUP would end the process, so it is ignored. A SIGHUP that
-    # arrives before the file is read can be ignored, because the agent then reads the new file anyway. A
-    # SIGHUP that arrives after the file was read and before the handler is installed is lost.
+    # SIGHUP would end the process until `serve` installs a handler, so it is ignored until then. A SIGHUP
+    # that arrives before the file is read needs no handler, because the agent then reads the new file
+    # anyway. One that arrives after the file was read and before the handler is installed is lost.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load(os.environ, clock)
@@ -59,8 +59,8 @@
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(_log_unhandled)
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     agent, listener = assemble(config, clock)
     loop.add_signal_handler(signal.SIGHUP, _reload, agent, clock)
     agent.start(config.cached_list)
@@ -81,9 +81,9 @@
 
 
 def _shutdown_times(settings: Settings) -> ShutdownTimes:
-    longest_deadline_s = max(c.deadline_us for c in settings.classes) / 1e6
-    end_s = min(MAX_DEADLINE_S, longest_deadline_s) + FINISH_AFTER_DEADLINE_S
-    return ShutdownTimes(CLOSE_IDLE_AFTER_S, ACCEPT_UNTIL_S, end_s)
+    longest_deadline_s = max(request_class.deadline_us for request_class in settings.classes) / 1e6
+    finish_by_s = min(MAX_DEADLINE_S, longest_deadline_s) + FINISH_AFTER_DEADLINE_S
+    return ShutdownTimes(CLOSE_IDLE_AFTER_S, SERVE_UNTIL_S, finish_by_s)
 
 
 def _reload(agent: Agent, clock: Clock) -> None:
--- a/nickelmount/errors.py
+++ b/nickelmount/errors.py
@@ -13,19 +13,19 @@
 
 
 class SettingsError(NickelmountError):
-    """Raised if the settings of a deployment do not have the form that the protocol specifies."""
+    """Settings of a deployment that do not have the form that the protocol specifies."""
 
 
 class ConfigurationError(NickelmountError):
-    """Raised if the configuration file is missing or cannot be used."""
+    """A configuration file that is missing or cannot be used."""
 
 
 class FrameError(NickelmountError):
-    """Raised if the simulator's adapter reads input that its protocol does not allow."""
+    """Input of the simulator's adapter that its protocol does not allow."""
 
 
 class HttpError(NickelmountError):
-    """Raised for an invalid HTTP message; `status` is the status with which a client is answered."""
+    """An HTTP message that cannot be used; `status` is the status with which a client is answered."""
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
@@ -33,15 +33,15 @@
 
 
 class DiscoveryError(NickelmountError):
-    """Raised if a call to discovery has failed."""
+    """A failed call to discovery."""
 
 
 class EndpointListError(DiscoveryError):
-    """Raised if the answer of discovery is not a valid endpoint list."""
+    """An answer of discovery that is not a valid endpoint list."""
 
 
 class StaleRevisionError(DiscoveryError):
-    """Raised if discovery answers with an older revision than that of the list that the agent has."""
+    """An answer of discovery whose revision is older than that of the agent's list."""
 
     def __init__(self, revision: int, held_revision: int | None) -> None:
         super().__init__(f"revision {revision} is older than the agent's revision {held_revision}")
