--- a/nickelmount/agent/downstream.py
+++ b/nickelmount/agent/downstream.py
@@ -118,7 +118,7 @@
         self._request: ClientRequest | None = None  # The same request while the handler has it.
         # Whether bytes other than line ends arrived while a request was in flight.
         self._has_pipelined_input = False
-        self._continue_sent_for: HttpMessage | None = None
+        self._continue_sent_for: HttpMessage | None = None  # The last message that got 100 Continue.
         self.timer_started_at = now()
         self.has_answered = False
         self.is_lingering = False
@@ -250,7 +250,7 @@
     def _accept(self, message: HttpMessage) -> None:
         """Hand a request to the handler, if it is valid and its client has not disconnected."""
         try:
-            request = self._host.validator.check(message, self._on_answer)
+            request = self._host.validator.validate(message, self._on_answer)
             if request.client_request_id in self._host.open_request_ids:
                 raise HttpError(409, "this Request-Id is open")
         except HttpError as error:
--- a/nickelmount/agent/request_validation.py
+++ b/nickelmount/agent/request_validation.py
@@ -1,6 +1,6 @@
 """The validation of clients' requests. An invalid request is answered at once and reaches no endpoint.
 
-RequestValidator.check makes these checks in order. The first one that fails determines the text of the
+RequestValidator.validate makes these checks in order. The first one that fails determines the text of the
 answer, whose status is always 400:
 
 1. Host is present.
@@ -87,14 +87,17 @@
         }
         self._tenants = {tenant.name.encode(): index for index, tenant in enumerate(tenants)}
 
-    def check(self, message: HttpMessage, respond: Respond) -> ClientRequest:
-        """Return the valid request; raises HttpError with the status and the text of the client's answer."""
+    def validate(self, message: HttpMessage, respond: Respond) -> ClientRequest:
+        """Check a message and return it as a ClientRequest; raises HttpError if a check fails.
+
+        The status and the text of the error are the answer to the client.
+        """
         fields = message.headers
         _check_host(fields)
         _check_single_headers(message.repeated_headers)
-        request_class, idempotency = self._request_class(fields)
+        request_class, idempotency = self._find_class(fields)
         _check_method(message.method, idempotency)
-        request_id = _request_id(fields)
+        request_id = _parse_request_id(fields)
         _check_idempotency_key(fields, idempotency)
         return ClientRequest(
             client_request_id=request_id,
@@ -103,20 +106,20 @@
             headers=[(name, fields[name]) for name in FORWARDED_HEADERS if name in fields],
             body=bytes(message.body),
             request_class=request_class,
-            tenant=self._tenant(fields),
-            timeout_us=_timeout_us(fields),
-            cost_us=_number(fields, http_names.WORK_HINT) or 0,
+            tenant=self._find_tenant(fields),
+            timeout_us=_parse_timeout_us(fields),
+            cost_us=_parse_number(fields, http_names.WORK_HINT) or 0,
             is_retry=fields.get(http_names.CLIENT_RETRY) == b"1",
             respond=respond,
         )
 
-    def _request_class(self, fields: HeaderFields) -> tuple[int, Idempotency]:
+    def _find_class(self, fields: HeaderFields) -> tuple[int, Idempotency]:
         found = self._classes.get(fields.get(http_names.REQUEST_CLASS, b""))
         if found is None:
             raise HttpError(400, "unknown Request-Class")
         return found
 
-    def _tenant(self, fields: HeaderFields) -> int:
+    def _find_tenant(self, fields: HeaderFields) -> int:
         if not self._tenants:
             return 0
         index = self._tenants.get(fields.get(http_names.TENANT, b""))
@@ -141,7 +144,7 @@
         raise HttpError(400, "method does not fit the class")
 
 
-def _request_id(fields: HeaderFields) -> bytes:
+def _parse_request_id(fields: HeaderFields) -> bytes:
     request_id = fields.get(http_names.REQUEST_ID, b"")
     if not TOKEN.fullmatch(request_id):
         raise HttpError(400, "Request-Id is missing or malformed")
@@ -149,7 +152,7 @@
 
 
 def _check_idempotency_key(fields: HeaderFields, idempotency: Idempotency) -> None:
-    """Check that the key is present only if the class uses one; raises HttpError.
+    """Check that the key is well-formed if the class uses one, and absent otherwise; raises HttpError.
 
     Without the key, an endpoint could not tell a repeated request from a new one.
     """
@@ -162,14 +165,14 @@
         raise HttpError(400, "Idempotency-Key does not fit the class")
 
 
-def _number(fields: HeaderFields, name: bytes) -> int | None:
+def _parse_number(fields: HeaderFields, name: bytes) -> int | None:
     """Return the value of a header field as a number, or None if it is absent or malformed."""
     text = fields.get(name, b"")
     return int(text) if text.isdigit() and len(text) <= MAX_NUMBER_DIGITS else None
 
 
-def _timeout_us(fields: HeaderFields) -> int:
-    timeout_ms = _number(fields, http_names.REQUEST_TIMEOUT_MS)
+def _parse_timeout_us(fields: HeaderFields) -> int:
+    timeout_ms = _parse_number(fields, http_names.REQUEST_TIMEOUT_MS)
     if not timeout_ms or timeout_ms > MAX_TIMEOUT_MS:
         raise HttpError(400, "bad Request-Timeout-Ms")
     return timeout_ms * 1000
