--- a/nickelmount/balancer/endpoint.py
+++ b/nickelmount/balancer/endpoint.py
@@ -12,6 +12,7 @@
     from .request import Request
 
 MIN_CAPACITY_HINT = 1e-6  # Above 0, because other values are divided by a capacity hint.
+# Upper limit of TrackedEndpoint.penalty_halving_us, and its value while the typical latency is unknown.
 MAX_PENALTY_HALVING_US = SECOND_US
 
 
--- a/nickelmount/balancer/endpoint_set.py
+++ b/nickelmount/balancer/endpoint_set.py
@@ -1,7 +1,7 @@
 """The set of endpoints that discovery has listed.
 
-The cost of an update depends on the number of entries that change, not on the size of the list. A pass over
-thousands of endpoints takes milliseconds and would delay requests at each change of the list.
+The cost of a DELTA update depends on the number of entries that change, not on the size of the list. A pass
+over thousands of endpoints takes milliseconds and would delay requests at each change of the list.
 """
 
 from __future__ import annotations
@@ -45,6 +45,7 @@
         self._delete_removed()
 
     def _update_or_create(self, entry: Endpoint, now_us: int) -> TrackedEndpoint:
+        """Return the endpoint of an entry with the entry's values, and create it if its id is new."""
         endpoint = self.by_id.get(entry.id)
         if endpoint is not None:
             if entry.started_at_us != endpoint.started_at_us:
--- a/nickelmount/balancer/events.py
+++ b/nickelmount/balancer/events.py
@@ -41,7 +41,7 @@
     # No connection came up, or it broke before the last byte was written. The request never ran.
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"  # The connection broke. The request may have run.
-    CANCELLED = "cancelled"  # The balancer cancelled it. The request may have run or may still be running.
+    CANCELLED = "cancelled"  # The attempt was cancelled. The request may have run or may still be running.
     NOT_SENT = "not_sent"  # The request never left this process, so it never ran.
 
 
@@ -107,14 +107,14 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has disconnected, so the request needs no final answer."""
+    """The disconnect of a client, whose request then needs no final answer."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """The delay of a SetTimer action has elapsed."""
+    """The end of the delay of a SetTimer action."""
 
     token: int
 
--- a/nickelmount/balancer/load_table.py
+++ b/nickelmount/balancer/load_table.py
@@ -188,6 +188,7 @@
             self._record_failure(endpoint, event, now_us)
 
     def _record_load(self, endpoint: TrackedEndpoint, load: float, now_us: int) -> None:
+        """Record a load that was reported with a response, with more weight if the last report is old."""
         # The report includes this balancer's own attempts and the one that has just ended.
         other_in_flight = load - len(endpoint.in_flight) - 1
         weight = 1.0
--- a/nickelmount/balancer/settings.py
+++ b/nickelmount/balancer/settings.py
@@ -12,7 +12,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may run more than once."""
+    """The idempotency of a class of requests, which decides whether they may run more than once."""
 
     ALWAYS = "always"  # Repeats are harmless.
     # Repeats are harmless if they carry the same idempotency key, because endpoints drop them. This holds
@@ -30,7 +30,7 @@
 
 
 class DiscoveryMode(Enum):
-    """How changes of the endpoint list reach a balancer."""
+    """The way in which changes of the endpoint list reach a balancer."""
 
     PUSH = "push"  # Changes arrive without a call.
     POLL = "poll"  # Changes arrive only in answer to WatchEndpoints or FetchEndpoints.
@@ -121,11 +121,12 @@
     instance_index: int = 0  # Number of this balancer among all, counted from 0.
     load_report_fields: tuple[str, ...] = ()  # Names of the values in a load report; () if there are none.
     discovery_mode: DiscoveryMode = DiscoveryMode.PUSH
-    # POLL: a change counts as notified this long after it was made, whether the balancer has polled or not.
+    # Used for POLL only: a change counts as notified this long after it was made, even without a poll.
     notified_after_us: int = 10_000_000
-    # POLL: a call that is not held back until a change comes is answered or has failed within this time.
+    # Used for POLL only: a call that does not wait for a change is answered or fails within this time.
     list_call_timeout_us: int = 0
-    discovery_is_local: bool = False  # POLL: calls are answered at once and put no load on a shared service.
+    # Used for POLL only: calls are answered at once and put no load on a shared service.
+    discovery_is_local: bool = False
     # Time for which requests may still be sent to an endpoint after it was told to drain.
     drain_grace_us: int = 500_000
     can_cancel: bool = True
--- a/nickelmount/balancer/subset.py
+++ b/nickelmount/balancer/subset.py
@@ -2,9 +2,10 @@
 
 A balancer with little traffic sends to each endpoint of a large fleet so rarely that its measurements are
 outdated and its connections are closed as idle before the next request. It therefore samples only from as
-many endpoints as it sends requests in two seconds. Each balancer takes them in its own order. An endpoint
-that is ejected or warming up counts less or not at all, so that the next ones in the order join the subset. A
-balancer that knows the load of all endpoints from probes or gossip samples from all of them.
+many endpoints as it sends requests in two seconds. Each balancer takes them in its own order. An ejected
+endpoint does not count towards the size of the subset and a warming one counts only in part, so that the next
+ones in the order join the subset. A balancer that knows the load of all endpoints from probes or gossip
+samples from all of them.
 """
 
 from __future__ import annotations
--- a/nickelmount/balancer/timers.py
+++ b/nickelmount/balancer/timers.py
@@ -10,7 +10,7 @@
 
 
 class TimerQueue:
-    """A queue of delayed calls. It emits SetTimer when a call is due earlier than the earliest timer."""
+    """A queue of delayed calls. It emits SetTimer if a call is due before the earliest pending timer."""
 
     def __init__(self, emit: Callable[[Action], None]) -> None:
         self._emit = emit
--- a/nickelmount/balancer/warming_endpoints.py
+++ b/nickelmount/balancer/warming_endpoints.py
@@ -62,6 +62,7 @@
         return len(self._by_start) * ramp.start_capacity + gained
 
     def _remove_first(self, count: int) -> None:
+        """Remove the given number of endpoints with the earliest start times."""
         for start_us, endpoint in self._by_start[:count]:
             self._start_sum_us -= start_us
             endpoint.warming_since_us = 0
--- a/nickelmount/protocol/__init__.py
+++ b/nickelmount/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The formats of data that the agent reads, such as settings and endpoint lists, and their parsers."""
+"""Parsers for settings, endpoint lists, load reports and addresses, and the names that HTTP messages use."""
--- a/nickelmount/protocol/endpoint_list.py
+++ b/nickelmount/protocol/endpoint_list.py
@@ -87,7 +87,7 @@
 
 
 class EndpointListParser:
-    """A parser for discovery's JSON, which raises EndpointListError if a document is no endpoint list.
+    """A parser for discovery's JSON. It raises EndpointListError if a document is not an endpoint list.
 
     An entry whose fields have not changed yields the same ListedEndpoint as before, so that a complete list
     with few changes costs little more than decoding its JSON.
@@ -204,7 +204,7 @@
 
 @contextmanager
 def _as_endpoint_list_error() -> Iterator[None]:
-    """Convert the errors that a document of another form causes to EndpointListError."""
+    """Convert the errors from parsing a malformed document to EndpointListError."""
     try:
         yield
     except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
--- a/nickelmount/simulator/host.py
+++ b/nickelmount/simulator/host.py
@@ -112,7 +112,7 @@
         except ValueError as e:
             raise FrameError(f"settings: not JSON: {e}") from None
         if not isinstance(document, dict):
-            raise FrameError(f"settings: must be an object, but are of type {type(document).__name__}")
+            raise FrameError(f"settings: must be a JSON object, but are of type {type(document).__name__}")
         try:
             self._balancers[instance] = Balancer(settings_from(document), seed)
         except SettingsError as e:
