--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -70,8 +70,8 @@
 
 
 def test_in_a_large_fleet_each_instance_calls_before_changes_count_as_notified() -> None:
-    # If the first calls of 200 instances are spread too far, the last one comes after 19 s, while endpoints
-    # that started to drain count as notified after 6 s.
+    # If the first calls of 200 instances are spread too far, the last one comes after 19 s. Changes count as
+    # notified after 6 s, so that this instance would still send to endpoints that have drained meanwhile.
     for seed in range(20):
         driver = BalancerDriver(
             NON_IDEMPOTENT,
@@ -132,11 +132,10 @@
 
 @pytest.mark.parametrize("instance_count", [2, 20, 200, 6300])
 def test_after_an_outage_the_list_is_read_before_it_counts_as_notified(instance_count: int) -> None:
-    # A backoff that grows with the number of instances must not be too long: 200 instances would wait up to 9
-    # s after a failed call, while changes count as notified 6 s after the end of the outage.
+    # The backoff grows with the number of instances, but must not be too long: 200 instances would wait up to
+    # 9 s after a failed call, while changes count as notified 6 s after the end of the outage.
     connect_timeout_us, is_small = 250 * MS, instance_count < 1000
-    # If the outage ends right after a call has begun, that call still fails, and the next one must be in
-    # time.
+    # If the outage ends right after a call has begun, that call still fails and the next must be in time.
     for call_times in failing_call_times(instance_count, CALL_TIMEOUT_US, 12 if is_small else 4):
         assert (
             max(after - at for at, after in zip(call_times, call_times[1:], strict=False)) + CALL_TIMEOUT_US
