--- a/nickelmount/balancer/endpoint_watch.py
+++ b/nickelmount/balancer/endpoint_watch.py
@@ -65,7 +65,8 @@
     def delay_after_us(self, kind: ListUpdateKind) -> int | None:
         """Return the delay after which to open the watch, now that a list update of this kind has come.
 
-        After a failure this is the backoff. Otherwise, return None if the watch is open or changes are pushed.
+        After a failure, this is the backoff. Otherwise, it is None if the watch is open or changes are
+        pushed.
         """
         if kind is ListUpdateKind.FAILED:
             self._is_open = False
