--- a/nickelmount/agent/connection.py
+++ b/nickelmount/agent/connection.py
@@ -25,7 +25,8 @@
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None  # None until the connection is established.
         self.all_written = True  # Whether the kernel has taken every byte that was sent.
-        # Whether nothing more can be sent, because the connection was lost or was aborted on this side.
+        # Whether nothing more may be sent: the connection was lost or was aborted on this side, or the
+        # subclass has decided not to use it again.
         self.closed = False
         self.discards_input = False  # Whether received bytes are dropped without being handled.
 
@@ -38,7 +39,10 @@
         """Clean up after on_data has raised an exception."""
 
     def on_peer_closed(self) -> None:
-        """Handle a close, a half-close or a reset by the peer. May be called twice."""
+        """Handle the end of the connection: the peer closed, half-closed or reset it, or this side closed it.
+
+        May be called twice.
+        """
 
     # Methods that asyncio calls
 
@@ -103,6 +107,8 @@
     def peer_has_closed(self) -> bool:
         """Return whether the kernel knows that the peer has closed, half-closed or reset the connection.
 
+        Also returns True if this side has closed the connection or has not established it yet.
+
         The event loop notices a close only after it has read all bytes that precede it. This polls the kernel
         instead, so that a client that has disconnected is noticed before a request is sent on its behalf. The
         kernel reports a reset as POLLERR and POLLHUP, which poll returns even if they are not requested.
--- a/nickelmount/agent/connection_pool.py
+++ b/nickelmount/agent/connection_pool.py
@@ -1,8 +1,8 @@
 """The pool of connections to endpoints, which limits their number and reuses those that are safe to reuse.
 
 A connection has one owner at a time. From `acquire` or `open` until `release` or `discard` the owner is an
-exchange (`PooledConnection.owner`); while the connection is idle, it is the pool. Every connection is closed
-by `ConnectionPool.discard`.
+exchange, which sets `PooledConnection.owner` only when it sends its request. While the connection is idle,
+the owner is the pool. Every connection is closed by `ConnectionPool.discard`.
 """
 
 from __future__ import annotations
@@ -50,7 +50,8 @@
     def __init__(self, pool: ConnectionPool, listed: ListedEndpoint) -> None:
         super().__init__()
         self.listed = listed  # The endpoint's list entry at the time the connection was opened.
-        self.owner: ConnectionOwner | None = None  # None if the connection is idle.
+        # The exchange whose request is being sent or is in flight; None before that and after the release.
+        self.owner: ConnectionOwner | None = None
         # Whether the next response on this connection would belong to the next request: nothing but the
         # awaited response has arrived, and the endpoint keeps the connection open.
         self.is_in_sync = True
@@ -60,7 +61,7 @@
         self._reader = HttpReader(HttpResponseParser, MAX_RESPONSE_BODY_BYTES)
 
     def on_data(self, data: bytes) -> None:
-        """Pass a complete response to the owner; discard the connection if it has no owner."""
+        """Report a complete or unusable response to the owner; without an owner, discard the connection."""
         if self.owner is None:
             # No request is in flight, and these bytes must not be read as the response to the next one.
             return self._pool.discard(self)
@@ -83,7 +84,7 @@
         self._pool.discard(self)
 
     def on_peer_closed(self) -> None:
-        """Report the close to the owner; discard the connection if it is idle."""
+        """Report the close to the owner; without an owner, discard the connection."""
         self.closed = True
         if self.owner is not None:
             self.owner.on_peer_closed()
@@ -204,9 +205,9 @@
         """Take a connection back from its owner and keep it for reuse, or discard it.
 
         The connection is kept only if its exchange is complete, which means that the response has arrived or
-        that nothing was sent. In addition, everything must have been written, nothing but the response may
-        have arrived, and the list's present entry `listed_now` must still name the process that the
-        connection leads to.
+        that nothing was sent. In addition, the connection must be open and in sync (see `is_in_sync`),
+        everything must have been written, and `listed_now`, the present list entry of the endpoint, must name
+        the process that the connection leads to.
         """
         connection.owner = None
         is_reusable = (
--- a/nickelmount/agent/discovery_client.py
+++ b/nickelmount/agent/discovery_client.py
@@ -1,8 +1,11 @@
 """The client of discovery, which watches the endpoint list for changes and fetches the complete list.
 
-A watch is a sequence of long polls. Each asks for the changes after the revision that the client holds.
-Discovery delays its response until there is a change or until the wait that the call states is over. The
-balancer decides when a failed watch is started again and when the complete list is fetched.
+A watch is a sequence of calls, most of them long polls. A long poll asks for the changes after the revision
+that the client holds, and discovery delays its response until there is a change or until the wait that the
+call states is over. The other calls of a watch are answered immediately: they ask for the complete list if
+the client holds no revision, or for changes after a long poll that got no response and, at a shared
+discovery, after a failed watch. The balancer decides when a failed watch is started again and when a fetch
+is made.
 """
 
 from __future__ import annotations
@@ -36,7 +39,7 @@
 # The timeout of a call that discovery answers immediately, including the time to connect.
 CALL_TIMEOUT_S = 2.0
 # How long after the end of its wait the response to a long poll may arrive. Without this limit, the watch
-# would wait forever if the machine of discovery was cut off from the network and so closed no connection.
+# would wait forever if discovery's machine was cut off from the network, because no connection closes then.
 LONG_POLL_GRACE_S = 0.5
 # The wait of a call that asks for changes and is to be answered immediately. The protocol has no wait of 0.
 IMMEDIATE_POLL_WAIT_MS = 1
@@ -67,9 +70,10 @@
         self._address, self._parser = address, parser
         self._connect_timeout_s, self._long_poll_ms = connect_timeout_s, long_poll_ms
         self._jitter_random = jitter_random
-        self._revision = revision  # If it is None, the next call asks for the complete list.
-        # Whether the next call asks for an immediate response. Missed changes then arrive immediately, and a
-        # connection that delivers nothing is detected within CALL_TIMEOUT_S.
+        # The revision of the newest list; if it is None, the watch's next call asks for the complete list.
+        self._revision = revision
+        # Whether the watch's next call for changes asks for an immediate response. Missed changes then arrive
+        # immediately, and a connection that delivers nothing is detected within CALL_TIMEOUT_S.
         self._next_poll_is_immediate = False
         self._watch_task: asyncio.Task[None] | None = None
         self._fetch_tasks: set[asyncio.Task[None]] = set()
@@ -91,8 +95,8 @@
     def change_address(self, address: Address, on_list: ListCallback) -> None:
         """Watch the discovery at another address from now on, beginning with the complete list.
 
-        Calls to the old address are cancelled, and `on_list` is not called for them. The client forgets its
-        revision, because the revisions of one discovery have no meaning at another.
+        Calls to the old address are cancelled and make no report. The client forgets its revision, because
+        the revisions of one discovery have no meaning at another. Does nothing if the address is the same.
         """
         if address == self._address:
             return
@@ -116,7 +120,8 @@
                 _log_failure(error)
                 # During an outage of a shared discovery, the next connection may deliver nothing either. With
                 # a long poll, that would be detected only after its wait, when the changes missed by then
-                # have long counted as notified. The long polls at a local discovery are too short for that.
+                # have long counted as notified. At a local discovery, a long poll is short enough to detect
+                # this in time.
                 self._next_poll_is_immediate = self._jitter_random is not None
         # The task is cleared before the report, because the balancer may start the next watch in response to
         # it.
@@ -170,7 +175,7 @@
     def _next_wait_ms(self) -> int:
         """Return the wait of the next long poll.
 
-        At a shared discovery it is random, between half of the longest wait and all of it.
+        At a shared discovery, the wait is random, between half of the longest wait and all of it.
         """
         if self._jitter_random is None:
             return self._long_poll_ms
--- a/nickelmount/agent/discovery_connection.py
+++ b/nickelmount/agent/discovery_connection.py
@@ -28,14 +28,15 @@
     async def get(self, target: str) -> bytes:
         """Make a call and return the body of the response.
 
-        Raises DiscoveryError if the status is not 200 or if no complete response arrives.
+        Raises DiscoveryError if the status is not 200, if the response is malformed, or if the connection
+        ends before the response is complete. Sets no time limit.
         """
         self._body_future = asyncio.get_running_loop().create_future()
         self.send(encode_request(b"GET", target.encode(), [(b"Host", DISCOVERY_HOST)]))
         return await self._body_future
 
     def on_data(self, data: bytes) -> None:
-        """Read bytes from discovery, and end the call in flight if they complete its response."""
+        """Read bytes from discovery; end the call in flight if its response is complete or malformed."""
         messages = self._reader.feed(data)
         if self._body_future is None:
             # No call is in flight, and these bytes must not be read as the response to the next call.
@@ -60,7 +61,7 @@
         self._fail(DiscoveryError("internal error while reading the response"))
 
     def on_peer_closed(self) -> None:
-        """Fail the call in flight because discovery has closed or reset the connection."""
+        """Fail the call in flight because the connection has ended."""
         self._fail(DiscoveryError("discovery closed or reset the connection"))
 
     def _fail(self, error: DiscoveryError) -> None:
@@ -103,8 +104,11 @@
                 _, self._connection = await loop.create_connection(
                     DiscoveryConnection, self._address.host, self._address.port
                 )
-        except (OSError, ValueError) as error:  # ValueError means that the host name cannot be looked up.
-            raise DiscoveryError(f"cannot connect: {str(error) or type(error).__name__}") from error
+        except (OSError, ValueError) as error:  # A malformed host name raises ValueError.
+            raise DiscoveryError(
+                f"cannot connect to {self._address.host}:{self._address.port}: "
+                f"{str(error) or type(error).__name__}"
+            ) from error
 
     async def get(self, target: str) -> bytes:
         """Make a call and return the body of the response; raises DiscoveryError.
--- a/nickelmount/agent/upstream.py
+++ b/nickelmount/agent/upstream.py
@@ -93,7 +93,7 @@
         timeout_us: int,
         on_end: Callable[[ExchangeResult], None],
     ) -> Exchange:
-        """Start to send a request to an endpoint, and return the exchange.
+        """Start an exchange that sends a request to an endpoint, and return the exchange.
 
         `on_end` is called exactly once, possibly before this method returns.
         """
--- a/nickelmount/agent/upstream_exchange.py
+++ b/nickelmount/agent/upstream_exchange.py
@@ -35,9 +35,9 @@
 
     # The exchange has no connection yet, so the endpoint has received nothing.
     CONNECTING = "connecting"
-    # The kernel has not taken all bytes. An endpoint does not run a request of which it has only a part.
+    # The kernel has not taken all bytes of the request. An endpoint does not run an incomplete request.
     WRITING = "writing"
-    # All bytes are written, so the request may run.
+    # The kernel has taken all bytes of the request, so the endpoint may run it.
     AWAITING_RESPONSE = "awaiting response"
     ENDED = "ended"
 
@@ -47,9 +47,12 @@
 #   is in another zone or cell by the time the connection is established; if no more connections may be
 #   opened; if this machine has run out of resources; if the client has disconnected; or if a bug in this
 #   program prevents the connect;
+# - as NOT_SENT, in state CONNECTING: if a connection is available, but the timeout of the exchange is over
+#   and its timer has not run yet;
 # - as NOT_SENT, in state CONNECTING or WRITING: if the time limit set by write_within is over;
-# - as CONNECT_FAILED, in state CONNECTING: if the connection is refused or is not established in time.
-# A bug in this program that shows while it sends counts as a lost connection.
+# - as CONNECT_FAILED, in state CONNECTING: if the connection cannot be established, for example because it is
+#   refused, or is not established in time.
+# If a bug in this program raises an exception while the request is sent, the connection counts as lost.
 OUTCOME_ON_CONNECTION_LOST: Mapping[ExchangeState, Outcome] = {
     ExchangeState.CONNECTING: Outcome.CONNECT_FAILED,
     ExchangeState.WRITING: Outcome.CONNECT_FAILED,
@@ -65,8 +68,8 @@
     ExchangeState.WRITING: Outcome.CANCELLED,
     ExchangeState.AWAITING_RESPONSE: Outcome.CANCELLED,
 }
-# This is not a lost connection, because the process responds and the connection is intact. The request may
-# have run.
+# An unusable response does not count as a lost connection, because the endpoint responds and the connection
+# is intact. The request may have run.
 OUTCOME_ON_UNUSABLE_RESPONSE = Outcome.ERROR
 
 
@@ -114,7 +117,7 @@
 
 
 def _in_same_zone_and_cell(one: ListedEndpoint | None, other: ListedEndpoint | None) -> bool:
-    """Return whether two endpoints share zone and cell, and therefore every dedup scope."""
+    """Return whether two list entries have the same zone and cell, and therefore the same dedup scopes."""
     return (
         one is not None
         and other is not None
@@ -128,7 +131,7 @@
 
     Everything that ends an exchange calls `_end`, which ignores all calls but the first. Before `on_end` is
     called, the timers are cancelled, and the connection is back in the pool or is closed, so that the
-    endpoint sees the close before any later attempt of the same request.
+    endpoint sees the close before any later attempt of the same request is sent.
     """
 
     def __init__(
@@ -144,7 +147,8 @@
         self._loop = asyncio.get_running_loop()
         self._started_at_us = context.clock.now()
         self._deadline_us = self._started_at_us + timeout_us
-        self._write_deadline_us = self._deadline_us  # The last byte is written before this time or never.
+        # The exchange ends if the last byte is not written by this time.
+        self._write_deadline_us = self._deadline_us
         self._write_timer: asyncio.TimerHandle | None = None
         self._listed_at_start: ListedEndpoint | None = None
         self._connect_task: asyncio.Task[None] | None = None
@@ -160,7 +164,7 @@
 
     @property
     def connection(self) -> PooledConnection | None:
-        """The connection on which the request was sent, or None if it has not been sent."""
+        """The connection on which the request is or was sent; None if sending has not begun."""
         return self._connection
 
     @property
@@ -213,11 +217,12 @@
     def _check_and_send(self, connection: PooledConnection) -> None:
         """Send the request if the conditions under which the endpoint was chosen still hold.
 
-        They may have changed while the connection was being established. If the list has changed, no new
-        request is sent to an endpoint that is draining or was replaced, and no repeat to an endpoint that is
-        now in another dedup scope. The client may have disconnected, or the dedup window, in which a repeat
-        is dropped, may be over. Both are checked here, because the event loop may have neither read the close
-        nor run the timer yet, and would do so only after the request was sent.
+        They may have changed while the connection was being established. According to the present list, the
+        endpoint may no longer be ready, may be another process, or may be in another zone or cell, where it
+        may not recognize a repeat of the request. The client may have disconnected. The exchange's timeout or
+        the dedup window, in which an endpoint drops a repeat, may be over. The close and the times are
+        checked here, because the event loop may have neither read the close nor run the timers yet, and would
+        do so only after the request was sent.
         """
         pool = self._context.pool
         listed_now = self._context.ready_endpoint(self._endpoint_id)
@@ -245,7 +250,7 @@
     def write_within(self, limit_us: int) -> None:
         """End the exchange as NOT_SENT if the last byte is not written within `limit_us`.
 
-        If this is called more than once, the earliest deadline applies.
+        The limit counts from this call. If this is called more than once, the earliest deadline applies.
         """
         deadline_us = self._context.clock.now() + limit_us
         if self._is_written_or_ended() or deadline_us >= self._write_deadline_us:
--- a/tests/event_order.py
+++ b/tests/event_order.py
@@ -66,7 +66,7 @@
 
 
 class BlockingClient:
-    """A client with a blocking socket, whose bytes and close arrive without help of the event loop."""
+    """A client with a blocking socket: it sends bytes and closes without an iteration of the event loop."""
 
     def __init__(self, setup: LoopbackSetup) -> None:
         self._earlier_connections = set(setup.listener.connections)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -104,7 +104,10 @@
 def endpoint_list(
     *members: dict[str, Any], complete: bool = False, zones: tuple[str, ...] = ("a",)
 ) -> EndpointList:
-    """Return the endpoint list that the agent's parser reads from these entries, with revision 42."""
+    """Return the endpoint list that the agent's parser reads from these entries, with revision 42.
+
+    `zones` are the localities that the parser knows; it treats any other locality as the first of them.
+    """
     parser = EndpointListParser(Clock(), zones)
     return parser.parse({"revision": 42, "complete": complete, "members": list(members)})
 
@@ -164,6 +167,10 @@
                 pass
 
     def reset(self) -> None:
+        """Close the connection without writing the bytes that are still buffered.
+
+        The kernel sends a reset only if it holds bytes that have not been read, and a normal close otherwise.
+        """
         self.writer.transport.abort()
 
     def shut_down_socket(self) -> None:
@@ -171,7 +178,7 @@
         self.writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
     def peer_has_closed(self) -> bool:
-        """Return whether the kernel knows that the other side has closed the connection."""
+        """Return whether the kernel knows of a close by the other side; False if unread bytes precede it."""
         with self.writer.get_extra_info("socket").dup() as s, contextlib.suppress(BlockingIOError):
             return not s.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         return False
@@ -308,7 +315,7 @@
                 task.cancel()
 
     def nothing_sent(self) -> bool:
-        """Return whether no endpoint has received a request that the test has not taken."""
+        """Return whether the test has taken every request that any endpoint received."""
         return all(endpoint.requests.empty() for endpoint in self.endpoints)
 
     # The balancer's state. Only the following methods name attributes of the balancer.
@@ -324,12 +331,12 @@
 
     @property
     def balancer_request_count(self) -> int:
-        """The number of requests without a final answer, as the balancer counts them."""
+        """The number of requests that have no final answer or still have attempts in flight."""
         return len(self._balancer.requests)
 
     @property
     def balancer_queued_count(self) -> int:
-        """The number of requests that the balancer holds back because no endpoint has capacity."""
+        """The number of requests that the balancer holds back because the endpoints are busy."""
         return len(self._balancer.waiting)
 
     def balancer_load_by_endpoint(self) -> list[float]:
@@ -372,7 +379,8 @@
 ) -> AsyncIterator[LoopbackSetup]:
     """Yield an agent that listens, with its endpoints s0, s1 and so on, and stop all of them after the block.
 
-    `max_sockets` and `timeouts` replace the defaults if they are given; see `settings` for `allowed`.
+    `max_sockets` and `timeouts` replace the defaults if they are given; see `settings` for `allowed`. The
+    settle time is 0, so that a connection may be reused as soon as it is idle.
     """
     discovery = await ScriptedServer().start()
     servers = [await ScriptedServer().start() for _ in range(endpoints)]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -24,7 +24,7 @@
 
 KNOWN_REVISION = 41
 COMPLETE_LIST_CALL = "GET /catalog/members HTTP/1.1"
-LARGE_LIST_SIZE = 6300
+LARGE_LIST_SIZE = 6300  # Entries. Parsing them takes many iterations of the event loop.
 VALID_ENTRY = member("s", 9)
 
 
@@ -187,7 +187,8 @@
         status = {str(entry.endpoint.id): entry.endpoint.status for entry in reported.entries}
         assert status.pop("s") is EndpointStatus.READY
         assert status.pop("d") is EndpointStatus.DRAINING
-        # The state of the other endpoints is unknown, so they are treated as removed and get no new requests.
+        # An endpoint whose entry has an id but is otherwise invalid is in an unknown state, so it counts as
+        # removed and gets no new requests.
         assert set(status) == set("bcef")
         assert set(status.values()) == {EndpointStatus.REMOVED}
 
@@ -217,8 +218,8 @@
 async def test_a_long_poll_without_a_response_is_replaced_shortly_after_its_wait(
     partial_response: bytes,
 ) -> None:
-    # The agent once gave up a long poll that got no response only 2 s after its wait. The changes that the
-    # poll had missed counted as notified at that time, but only then did the next call begin.
+    # The agent once gave up a long poll without a response only 2 s after the end of its wait. When the next
+    # call began, the changes that the poll had missed already counted as notified.
     async with running_watch(long_poll_ms=30) as setup:
         unanswered = await setup.next_call()
         assert "&wait=30 " in unanswered.start_line
@@ -238,7 +239,7 @@
 
 @pytest.mark.usefixtures("short_call_timeout")
 @async_test()
-async def test_a_watch_without_a_response_on_its_new_connection_either_has_failed() -> None:
+async def test_a_watch_fails_if_its_new_connection_delivers_no_response_either() -> None:
     async with running_watch(long_poll_ms=30) as setup:
         assert "&wait=30 " in (await setup.next_call()).start_line
         assert "&wait=1 " in (await setup.next_call()).start_line
@@ -248,9 +249,9 @@
 
 @pytest.mark.usefixtures("short_call_timeout")
 @async_test()
-async def test_at_a_shared_discovery_the_call_after_a_failed_one_does_not_wait(tmp_path: Path) -> None:
-    # The first call after the beginning of an outage may get no response. When that call was still a long
-    # poll, this was detected only after up to 20.5 s, whereas changes count as notified much earlier.
+async def test_at_a_shared_discovery_the_call_after_a_failed_one_is_no_long_poll(tmp_path: Path) -> None:
+    # During an outage, the call after a failed one may get no response. That call was once a long poll, and
+    # up to 20.5 s passed before this was detected, although changes count as notified much earlier.
     async with loopback_setup(tmp_path, endpoints=0) as setup:
         await (await setup.discovery.requests.get()).answer(503, b"")
         unanswered = await setup.discovery.requests.get()
@@ -302,8 +303,8 @@
 
 
 def test_at_a_shared_discovery_the_agents_have_different_waits(tmp_path: Path) -> None:
-    # The watches of six agents once stopped getting responses at the same time and were replaced at the same
-    # time. Their calls had to wait for each other, until changes already counted as notified.
+    # The long polls of six agents once got no response at the same time, and were replaced at the same time.
+    # The new calls had to wait for each other at discovery until changes already counted as notified.
     waits_ms = asyncio.run(first_waits_ms(tmp_path, "ask"))
     assert min(waits_ms) >= 10_000
     assert max(waits_ms) <= 20_000
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -30,7 +30,7 @@
 
 
 class ClockShift:
-    """A time by which the agent's clock is put forward."""
+    """A patch that puts every Clock forward by `shift_us`, which the test may change."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.shift_us = 0
@@ -65,7 +65,7 @@
 async def test_a_response_in_the_kernel_takes_precedence_over_a_due_timeout(tmp_path: Path) -> None:
     """The event loop is blocked while a response arrives and the request's timeout passes.
 
-    Its next iteration finds both. The client must get the response, because it arrived in time.
+    The next iteration finds both events. The client must get the response, because it arrived in time.
     """
     async with loopback_setup(tmp_path) as setup:
         client = await setup.send_request(post(NOT_IDEMPOTENT, timeout_ms="400"))
@@ -297,6 +297,7 @@
         )
         connect.hand_over()
         message = await setup.next_request()
+        # The first connection was discarded unused, and the second attempt opened another.
         assert setup.endpoints[0].connection_count == 2
         await message.answer()
         assert (await client.read()).status == 200
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,7 @@
-"""Tests of SIGHUP: the agent continues to run, and uses the discovery that its configuration now names."""
+"""Tests of the watch after a start, and of SIGHUP, after which the agent uses the newly configured discovery.
+
+The agent continues to run, and keeps its requests and its connections with clients.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -21,7 +21,7 @@
 from tests.loopback import Message, ScriptedServer, endpoint_list, member, running_server
 
 LOAD_REPORT_FIELDS = ("inflight", "queue", "util")
-LONG_US = 600_000_000  # A time limit that no test reaches, because it is longer than TEST_TIMEOUT_S.
+LONG_US = 600_000_000  # A time limit that no test reaches, because async_test ends each test before.
 REQUEST = UpstreamRequest(b"POST", b"/api", [(b"Request-Id", b"1")], b"job")
 OK = b"HTTP/1.1 200 OK\r\n"
 
@@ -253,7 +253,7 @@
 
 @async_test()
 async def test_a_connection_lost_before_the_last_byte_is_written_is_a_failed_connect() -> None:
-    """An endpoint resets the connection while the request is being written, so it cannot have run."""
+    """An endpoint resets the connection while a request is being written, so the request cannot have run."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(10)
@@ -270,8 +270,8 @@
 async def test_a_request_that_exceeds_its_write_limit_is_never_written_completely() -> None:
     """An endpoint accepts a connection and reads nothing until the dedup window is over.
 
-    After that, it would no longer drop a repeat. The exchange must end as NOT_SENT, and the endpoint must not
-    receive the rest of the request later.
+    After that, the endpoint would no longer drop a repeat. The exchange must end as NOT_SENT, and the
+    endpoint must not receive the rest of the request later.
     """
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -417,8 +417,8 @@
 async def test_a_duplicate_response_that_is_6_ms_late_reaches_no_other_request() -> None:
     """A duplicate arrives 6 ms after its response, and the next request arrives before the duplicate.
 
-    The default settle time of a connection is longer than 6 ms. When it is over, the connection of the second
-    request is reused.
+    The default settle time of a connection is longer than 6 ms, so the next request must use another
+    connection. That one is reused after its settle time.
     """
     async with asyncio.timeout(20), running_server() as server:
         clock = ManualClock()
