--- a/nickelmount/agent/connection_pool.py
+++ b/nickelmount/agent/connection_pool.py
@@ -38,7 +38,7 @@
         """Handle a complete response."""
 
     def on_unusable_response(self) -> None:
-        """Handle received bytes that are not a usable response; the connection is still open."""
+        """Handle received bytes that are unusable or caused an exception; the connection is still open."""
 
     def on_peer_closed(self) -> None:
         """Handle a close or a reset by the endpoint. May be called twice."""
--- a/nickelmount/agent/upstream_exchange.py
+++ b/nickelmount/agent/upstream_exchange.py
@@ -195,8 +195,8 @@
     async def _connect(self, listed: ListedEndpoint) -> None:
         try:
             connection = await self._context.pool.open(listed)
-        except OSError as e:  # This includes TimeoutError.
-            is_local = e.errno in LOCAL_RESOURCE_ERRNOS
+        except OSError as error:  # This includes TimeoutError.
+            is_local = error.errno in LOCAL_RESOURCE_ERRNOS
             return self._end(Outcome.NOT_SENT if is_local else Outcome.CONNECT_FAILED)
         except Exception:
             # Every exception is caught, because a request would get no answer if its exchange never ended.
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -271,6 +271,7 @@
 async def test_a_connect_is_given_up_after_the_call_timeout_even_if_the_settings_allow_longer(
     revision: int | None,
 ) -> None:
+    # With a revision the first call is a long poll; without one it asks for the complete list.
     with socket.socket() as listener, contextlib.ExitStack() as queued:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -286,7 +287,10 @@
 
 
 async def first_waits_ms(folder: Path, mode: str) -> list[int]:
-    """Return the waits that 20 agents with different seeds state in their first calls."""
+    """Return the waits that 20 agents with different seeds state in their first calls.
+
+    `mode` is "ask" for a shared discovery and "push" for a local one.
+    """
     waits_ms = []
     for number in range(20):
         discovery = await ScriptedServer().start()
