--- a/nickelmount/fleet/agent_config.py
+++ b/nickelmount/fleet/agent_config.py
@@ -7,8 +7,8 @@
 from .experiment import Experiment
 
 REQUEST_CLASS, METHOD = "read", "GET"  # All requests have this class and this method.
-# Limit on the connections to endpoints of an agent that this tool builds from its parts. Such an agent opens
-# no connection.
+# Limit on the number of connections to endpoints for hollow agents and for the parts that `slopes` measures.
+# The value has no effect, because neither of them sends requests to endpoints.
 MAX_ENDPOINT_CONNECTIONS = 512
 
 
--- a/nickelmount/fleet/agent_messages.py
+++ b/nickelmount/fleet/agent_messages.py
@@ -21,8 +21,8 @@
 class ListTimes(msgspec.Struct, frozen=True):
     """Answer of a process of hollow agents to the command `had`."""
 
-    # Monotonic time in ns at which each agent had the revision, in the order of the agents' numbers; 0 if it
-    # does not have it yet.
+    # Monotonic time in ns at which each agent applied the revision or a later one, in the order of their
+    # numbers; 0 if an agent has not applied one yet.
     at_ns: list[int]
 
 
@@ -36,8 +36,8 @@
     """Answer of a process of hollow agents to the command `counts`."""
 
     agents: int  # Number of agents that are running.
-    lists: int  # Number of lists that all agents together have received since the start.
-    # Number of failed calls to discovery of the agents that are running.
+    lists: int  # Number of lists that the watches of all agents together have received since the first start.
+    # Number of failed calls of the watches since each running agent was last started.
     failed_calls: int = msgspec.field(name="broken")
     cpu_s: float
     rss_mb: float
--- a/nickelmount/fleet/agent_processes.py
+++ b/nickelmount/fleet/agent_processes.py
@@ -1,7 +1,7 @@
 """The process that runs the real agents: ``python -m nickelmount.fleet.agent_processes``.
 
-Each real agent is a child process, ``python -m nickelmount``. The agents end when this process ends, which it
-does when its standard input ends.
+Each real agent is a child process, ``python -m nickelmount``. When the standard input of this process ends,
+the process kills the agents and then ends itself.
 """
 
 from __future__ import annotations
--- a/nickelmount/fleet/experiment.py
+++ b/nickelmount/fleet/experiment.py
@@ -37,7 +37,7 @@
     zones_per_region: Annotated[int, Meta(ge=1, le=100)] = 4
     racks_per_zone: Annotated[int, Meta(ge=1, le=1000)] = 5
     sockets: Annotated[int, Meta(ge=1, le=256)] = 32  # Listening sockets that all servers share.
-    work_ms: Annotated[float, Meta(ge=0, le=10_000)] = 0.0  # Service time of an endpoint.
+    work_ms: Annotated[float, Meta(ge=0, le=10_000)] = 0.0  # Time that an endpoint takes for each request.
 
 
 class AgentSettings(Table, frozen=True):
@@ -47,10 +47,10 @@
     real: Annotated[int, Meta(ge=0, le=32)] = 1  # Agents in processes of their own that handle requests.
     # Processes that the hollow agents are spread over; 0 derives the number from the cores of the machine.
     workers: Annotated[int, Meta(ge=0, le=MAX_WORKERS)] = 0
-    # Whether the hollow agents of one process share the entries of equal lists.
+    # Whether the hollow agents of one process share equal lists after parsing them once.
     share_lists: bool = field(name="shared", default=False)
-    # The number of agents that each agent is configured with, unless the fleet has more; 0 means one agent
-    # for each listed server.
+    # The number of agents that is stated in the configuration of each agent; 0 stands for the number of
+    # listed servers. If the fleet has more agents, their number is stated instead.
     instance_count: Count = field(name="siblings", default=0)
 
 
@@ -88,13 +88,15 @@
 class ListChange(Event, tag="change", frozen=True):
     """A change of the phase of some servers, published as one revision.
 
-    With the phase SERVING, all servers that are draining or deleted return as if they had restarted.
+    The servers are chosen at random among those that serve: `count` servers if `where` is "any", otherwise
+    all in one rack, zone or region. With the phase SERVING, all servers that are draining or deleted return
+    as if they had restarted, and `where` and `count` have no effect.
     """
 
     phase: Phase = "DRAINING"
     where: ChangeScope = "any"
-    count: Annotated[int, Meta(ge=1, le=20_000)] = 1  # Used only if `where` is "any".
-    replaced: bool = False  # Whether deleted servers return under new ids.
+    count: Annotated[int, Meta(ge=1, le=20_000)] = 1  # Has an effect only if `where` is "any".
+    replaced: bool = False  # Whether deleted servers that return get new ids.
 
 
 class SteadyChangeRate(Event, tag="drip", frozen=True):
@@ -130,7 +132,8 @@
     # Minimum duration of the warm-up before the measured time.
     warm_up_s: Seconds = field(name="warm_s", default=2.0)
     measured_s: Annotated[float, Meta(gt=0, le=3600)] = field(name="seconds", default=10.0)
-    # Maximum time after the measured time until all agents have the latest list.
+    # Maximum time to wait, after the measured time, until the hollow agents have applied all changes whose
+    # propagation delay is measured.
     max_settle_s: Seconds = field(name="settle_s", default=13.0)
     servers: ServerSettings = ServerSettings()
     agents: AgentSettings = AgentSettings()
@@ -140,7 +143,7 @@
 
     @property
     def instance_count(self) -> int:
-        """The number of agents that each agent is configured with, unless the fleet has more."""
+        """The number of agents to state in the configuration of each agent, unless the fleet has more."""
         return self.agents.instance_count or max(1, self.servers.listed)
 
 
@@ -205,7 +208,9 @@
         previous_s = event.at_s
         if isinstance(event, Outage):
             if event.at_s < outage_ends_s:
-                raise ExperimentError(f"{key}.at_s: discovery is already down")
+                raise ExperimentError(
+                    f"{key}.at_s: {event.at_s} is before the end of the previous outage at {outage_ends_s} s"
+                )
             outage_ends_s = event.at_s + event.duration_s
             if outage_ends_s > experiment.measured_s:
                 raise ExperimentError(
@@ -222,7 +227,8 @@
         )
     if event.at_s < previous_s:
         raise ExperimentError(
-            f"{key}.at_s: {event.at_s} is before the previous event; events must be in order"
+            f"{key}.at_s: {event.at_s} is before the previous event at {previous_s} s; events must be in "
+            "order of time"
         )
     listed = experiment.servers.listed
     if isinstance(event, ListChange) and event.where == "any" and event.count > listed:
--- a/nickelmount/fleet/fleet_processes.py
+++ b/nickelmount/fleet/fleet_processes.py
@@ -194,7 +194,10 @@
             await self._real.load_generator.call(EmptyAnswer, "phase", name=name)
 
     async def restart_real_agents(self, indices: list[int]) -> list[float]:
-        """Kill and restart these real agents, and return the seconds until each one was ready again."""
+        """Kill and restart the real agents at these indices.
+
+        Returns, for each of them, the seconds from its restart until it was ready again.
+        """
         if not indices:
             return []
         assert self._real is not None
--- a/nickelmount/fleet/hollow_agents.py
+++ b/nickelmount/fleet/hollow_agents.py
@@ -1,10 +1,11 @@
 """A process of hollow agents: ``python -m nickelmount.fleet.hollow_agents``.
 
 A hollow agent has the endpoint list, the watch and the decision state of a real agent, but no clients. It is
-an instance of the real Agent class with a Balancer, a DiscoveryClient, an EndpointListParser and an Upstream
-of its own; only the listener for clients is missing. With `shared`, the agents of one process share the
-entries of equal lists. Real agents never do that, so that the figures for memory and for the time to apply a
-list are then not those of a real agent.
+an instance of the real Agent class with a Balancer, a DiscoveryClient and an Upstream of its own; only the
+listener for clients is missing. All hollow agents of a process use the same list parser, which returns cached
+entries for entries that have not changed. With `shared`, the agents also share equal lists after parsing them
+once. A real agent shares nothing with other agents, so the figures for memory and for the time to apply a
+list are not those of a real agent, least of all with `shared`.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 
 
 class SharingListParser(EndpointListParser):
-    """A list parser that returns the same entries for equal lists.
+    """A list parser whose `parse` returns the same parsed list for equal documents.
 
     It keeps only the latest complete list and the latest delta.
     """
@@ -62,7 +63,10 @@
 
 
 class RecordingDiscoveryClient(DiscoveryClient):
-    """A discovery client that records when the agent, including its balancer, has applied each list."""
+    """A discovery client that records when the agent, including its balancer, has applied each watched list.
+
+    Lists from `fetch` are not recorded.
+    """
 
     def __init__(self, received_lists: list[ReceivedList], *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -137,13 +141,14 @@
 
     @property
     def failed_calls(self) -> int:
-        """The number of failed calls to discovery since the latest start; 0 if the agent has ended."""
+        """The number of failed calls of its watch since the latest start; 0 if the agent has ended."""
         return 0 if self._discovery is None else self._discovery.failed_calls
 
     def received_at_ns(self, revision: int, since_ns: int) -> int:
         """Return the monotonic time in ns at which the agent first applied this revision or a later one.
 
-        Lists that were applied before `since_ns` are ignored. Returns 0 if there is no such list yet.
+        Lists that were applied before `since_ns` are ignored. Returns 0 if the agent has applied none of
+        these revisions since then.
         """
         return next(
             (at_ns for applied, at_ns in self.received_lists if applied >= revision and at_ns >= since_ns), 0
@@ -165,7 +170,8 @@
         if shared:
             base = replace(base, list_parser=SharingListParser(base.list_parser))
         for position, number in enumerate(numbers):
-            # Without sharing, each agent parses the list that it starts with into entries of its own.
+            # Without `shared`, the list that an agent starts with is parsed again for each agent. Its entries
+            # come from the cache of the parser, so that the agents of this process share them even then.
             cached_list = base.cached_list if shared else base.list_parser.parse(config["known"])
             agent = HollowAgent(replace(base, cached_list=cached_list), clock, number)
             self._agents.append(agent)
--- a/nickelmount/fleet/propagation.py
+++ b/nickelmount/fleet/propagation.py
@@ -28,7 +28,8 @@
     label: str  # Label of the event that is measured.
     revision: int
     since_ns: int  # Monotonic time in ns from which the delay is measured.
-    agent_numbers: frozenset[int] = frozenset()  # Agents that are measured; all agents if it is empty.
+    # Numbers of the hollow agents that are measured; if it is empty, all of them are.
+    agent_numbers: frozenset[int] = frozenset()
 
 
 class PropagationMeasurement:
@@ -43,9 +44,9 @@
         self._targets.append(target)
 
     async def settle(self, max_settle_s: float) -> Figures:
-        """Wait until the agents have received all targets, and return figures of the propagation delays.
+        """Wait until the measured agents have applied the revisions of all targets, at most `max_settle_s`.
 
-        Stops waiting after `max_settle_s`.
+        Returns figures of the propagation delays.
         """
         deadline_s = time.monotonic() + max_settle_s
         while True:
--- a/nickelmount/fleet/runner.py
+++ b/nickelmount/fleet/runner.py
@@ -46,7 +46,9 @@
         self._propagation = PropagationMeasurement(self._fleet.workers)
         self._figures: Figures = {}
         self._measuring_since_s = 0.0  # Monotonic time at which the measured time started.
-        self._revision = 0  # Latest known revision of the endpoint list.
+        # Revision of the endpoint list in the latest answer of discovery to a command of this run. Revisions
+        # that steady changes have made since then are not known here.
+        self._revision = 0
         self._discovery_is_down = self._changed_while_down = False
 
     async def run(self) -> Figures:
@@ -170,8 +172,8 @@
         )
         self._discovery_is_down = False
         if not self._changed_while_down:
-            # The recovery of the agents is measured by a list that they receive, and without a change they
-            # would receive none.
+            # The recovery of the agents is measured as the time until they receive a list. Without a change
+            # they would receive none, unless discovery has renumbered its revisions.
             latest = await self._fleet.discovery.call(
                 ListPublished, "change", count=1, where="any", phase="DRAINING", seed=self._next_seed()
             )
@@ -192,8 +194,9 @@
         )
         if ready_s:
             self._figures["real.ready_again.s"] = max(ready_s)
-        # At the first revision the agents already start with the latest list and receive no other one, so
-        # that there is no delay to measure.
+        # If the list still has its first revision, the restarted agents begin with the latest list and
+        # receive no other one, so there is no delay to measure. Nothing is measured either after an outage in
+        # which discovery has renumbered its revisions, because they are then lower than the first one.
         if self._revision > self._fleet.first_revision and numbers:
             target = PropagationTarget(event.label, self._revision, at_ns, numbers)
             self._propagation.add(target)
--- a/nickelmount/fleet/usage_figures.py
+++ b/nickelmount/fleet/usage_figures.py
@@ -23,7 +23,8 @@
 def usage_figures(experiment: Experiment, before: FleetStatus, after: FleetStatus) -> Figures:
     """Return the figures between two times that are `experiment.measured_s` apart.
 
-    Peaks and failed calls of hollow agents are counted until `after`, not only between the two times.
+    Peaks cover all the time from the start of discovery until `after`. Failed calls of hollow agents are
+    counted from the latest start of each agent until `after`.
     """
     duration_s = experiment.measured_s
     hollow, real = experiment.agents.hollow, experiment.agents.real
--- a/tests/test_fleet_runner.py
+++ b/tests/test_fleet_runner.py
@@ -40,7 +40,7 @@
 def test_every_agent_has_the_last_change_and_no_request_is_lost(tmp_path: Path) -> None:
     """Servers drain, a rack is lost, agents restart, and discovery fails and loses its history.
 
-    Because of the last event, each agent needs the complete list again.
+    Because the history is lost, each agent needs the complete list again.
     """
     completed = run_fleet_tool("run", SMALL, "--quiet", "--out", tmp_path)
     assert completed.returncode == 0, completed.stderr
