--- a/nickelmount/fleet/discovery_messages.py
+++ b/nickelmount/fleet/discovery_messages.py
@@ -11,11 +11,11 @@
 
 from .versioned_list import ServerLayout
 
-# In a "refused" outage, connections are refused and reset. In a "silent" one, they are accepted, and no call
-# is answered.
+# In a "refused" outage, new connections are refused, and existing ones are reset. In a "silent" outage,
+# existing connections stay open, the kernel accepts new ones, and no call is answered.
 OutageKind = Literal["refused", "silent"]
-# After an outage the history of changes is still there ("kept"), or lost ("gone"), or lost with the revisions
-# starting from 1 again ("renumbered").
+# After an outage, discovery still has its history of changes ("kept"), has lost it ("gone"), or has lost it
+# and counts revisions from 1 again ("renumbered").
 HistoryAfterOutage = Literal["kept", "gone", "renumbered"]
 
 
@@ -68,20 +68,21 @@
 class DiscoveryCounts(msgspec.Struct):
     """Counts since the start of discovery.
 
-    Each call is counted once as a complete list, a delta, empty, failed or abandoned when it ends.
+    Each call is counted in `calls` when it arrives, and later in one of `complete_lists`, `deltas`, `empty`,
+    `failed` and `abandoned`.
     """
 
     calls: int = 0
     complete_lists: int = msgspec.field(name="whole", default=0)
     deltas: int = 0
     empty: int = 0  # Calls answered with a delta without entries.
-    failed: int = 0  # Calls answered with a status of 4xx or cut off by an outage.
-    # Calls whose client closed its connection before the answer.
+    failed: int = 0  # Calls answered with a 4xx status, or left without an answer because of an outage.
+    # Calls whose connection was closed before the response was begun.
     abandoned: int = msgspec.field(name="left", default=0)
     bytes_sent: int = msgspec.field(name="bytes_out", default=0)  # Bytes passed to the transport.
     bytes_received: int = msgspec.field(name="bytes_in", default=0)
     connections: int = 0  # Accepted connections, including those that have closed since.
-    peak_waiting: int = msgspec.field(name="waiting_most", default=0)
+    peak_waiting: int = msgspec.field(name="waiting_most", default=0)  # Peak of `DiscoveryStatus.waiting`.
     # Peak number of large responses that had not been begun.
     peak_queued: int = msgspec.field(name="queue_most", default=0)
     peak_calls_in_100_ms: int = msgspec.field(name="most_calls_in_100ms", default=0)
--- a/nickelmount/fleet/emulated_discovery.py
+++ b/nickelmount/fleet/emulated_discovery.py
@@ -106,7 +106,7 @@
 
         With SERVING, all servers that are draining or deleted return; deleted ones get new ids if `replaced`.
         With any other phase, the servers are chosen at random with `seed` among those that serve: a share or
-        a count of them, or all servers in one rack, zone or region.
+        a count of them if `where` is "any", otherwise all of them in one rack, zone or region.
         """
         msgspec.convert(phase, Phase)
         random = Random(seed)
@@ -279,7 +279,7 @@
         connection.close()
 
     def _answer_expired(self) -> None:
-        """Answer the watches whose wait has ended, and schedule the next call after SLOT_S."""
+        """Answer the watches whose wait has ended, and repeat this every SLOT_S."""
         self._expiry_timer = self._loop.call_later(SLOT_S, self._answer_expired)
         for connection in self._waiting.remove_expired(self._loop.time()):
             self._answer(connection)
--- a/nickelmount/fleet/listening_port.py
+++ b/nickelmount/fleet/listening_port.py
@@ -1,4 +1,7 @@
-"""A port on 127.0.0.1 that can stop serving connections in two ways, and serve them again."""
+"""A port on 127.0.0.1 that can be closed and opened again to simulate outages of discovery.
+
+While it is closed, the kernel either still accepts connections, which nobody serves, or refuses them.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,8 @@
 from collections.abc import Callable
 
 HOST = "127.0.0.1"
-ACCEPT_QUEUE_LENGTH = 4096  # Length of the kernel's queue, because all agents may connect at the same time.
+# Length of the kernel's queue of new connections. It is long because all agents may connect at the same time.
+ACCEPT_QUEUE_LENGTH = 4096
 ACCEPTS_PER_ITERATION = 256  # Connections that are accepted in one iteration of the event loop.
 # Size of the send buffer of each connection. Without this limit, the kernel would buffer complete lists that
 # clients do not read, for thousands of connections.
--- a/nickelmount/fleet/load_connections.py
+++ b/nickelmount/fleet/load_connections.py
@@ -15,9 +15,9 @@
 
 log = logging.getLogger(__name__)
 
-# A connection is not reused for this time after each answer. The agent does the same with its connections to
-# endpoints. Direct requests and requests to agents follow this rule too, so that the connections of neither
-# path are warmer than those of the other.
+# A connection is not reused for this time after each answer, because the agent does the same with its
+# connections to endpoints. The load generator follows this rule on both paths, so that the connections of
+# neither path are warmer than those of the other.
 REUSE_DELAY_NS = 10_000_000
 OUTCOMES_BY_STATUS = {
     200: RequestOutcome.SERVED,
--- a/nickelmount/fleet/load_generator.py
+++ b/nickelmount/fleet/load_generator.py
@@ -27,8 +27,8 @@
 from .request_tracker import RequestTracker
 from .role import EmptyAnswer, run, serve, typed_command, usage
 
-# Upper estimate of the time for which one request occupies a connection: its latency and the delay until the
-# connection is reused.
+# Upper estimate of the time for which one request occupies a connection: its latency and the delay before the
+# connection may be reused.
 CONNECTION_BUSY_S = 0.03
 # The event loop polls without sleeping for this time before a request is due, because waking up from a sleep
 # takes 0.2 to 0.3 ms.
@@ -48,7 +48,7 @@
 class RequestStream:
     """A stream of requests on one path at one rate.
 
-    Each request is sent when it is due, with the connection pools in rotation.
+    Each request is sent when it is due. The stream uses its connection pools in rotation.
     """
 
     def __init__(
@@ -149,7 +149,10 @@
         return EmptyAnswer()
 
     async def stop(self) -> EmptyAnswer:
-        """Stop sending, and wait for the requests in flight, each of which ends by its timeout."""
+        """Stop sending, wait for the requests in flight, and close all connections.
+
+        A request in flight counts as lost, and so ends, at the latest ANSWER_GRACE_S after its timeout.
+        """
         tracker = self._require_started()
         for stream in self._streams:
             stream.stop()
@@ -159,9 +162,9 @@
         return EmptyAnswer()
 
     async def results(self) -> dict[str, Any]:
-        """Return the statistics by phase and path; times in the histograms are in us.
+        """Return the statistics by phase and path, and the resource usage; the histograms are in us.
 
-        May be called only after `stop`, because encoding the histograms blocks the event loop.
+        To be called only after `stop`, because encoding the histograms blocks the event loop.
         """
         tracker = self._require_started()
         return {
--- a/nickelmount/fleet/request_figures.py
+++ b/nickelmount/fleet/request_figures.py
@@ -9,7 +9,7 @@
 from .figures import PERCENTILES, Figures
 from .request_statistics import HISTOGRAM_KEYS, OUTCOME_KEYS, PATHS, WARM_UP_PHASE, new_histogram
 
-ALL_PHASES = "all"  # Stands for the name of a phase in figures of all phases together.
+ALL_PHASES = "all"  # Replaces the name of a phase in figures of all phases together, without the warm-up.
 
 
 def request_figures(results: dict[str, Any]) -> Figures:
--- a/nickelmount/fleet/request_statistics.py
+++ b/nickelmount/fleet/request_statistics.py
@@ -21,7 +21,7 @@
 
     SERVED = "served"
     REJECTED = "refused"
-    FAILED = "failed"  # Any other status, bytes that are not an HTTP response, or no connection.
+    FAILED = "failed"  # A status other than 200, 429 and 503, invalid HTTP, or no connection.
     LOST = "lost"  # No answer before the timeout, or the connection closed before the answer.
 
 
@@ -38,7 +38,7 @@
     """The statistics of one path in one phase.
 
     Every request that has ended is in `latency_from_due`; a lost one is recorded with the time until it was
-    counted as lost. A request that was never written, because no connection could be opened for it, is in
+    counted as lost. A request that was never written, because no connection was opened for it in time, is in
     neither of the other histograms.
     """
 
--- a/nickelmount/fleet/request_tracker.py
+++ b/nickelmount/fleet/request_tracker.py
@@ -12,12 +12,15 @@
 from .load_connections import LoadConnectionPool, LoadRequest
 from .request_statistics import PATHS, PathStatistics, RequestOutcome, RequestPath
 
-ANSWER_GRACE_S = 0.5  # A request without an answer is lost this long after its own timeout.
+ANSWER_GRACE_S = 0.5  # A request without an answer counts as lost this long after its own timeout.
 _ID_PLACEHOLDER = b"\0id\0"  # Marks the place of the Request-Id in the encoded request.
 
 
 class RequestEncoder:
-    """An encoder of requests that differ only in their Request-Id, which is unique across runs.
+    """An encoder of requests that differ only in their Request-Id.
+
+    A Request-Id consists of a prefix that is derived from the seed, and of the number of the request. It is
+    unique within a run; runs with the same seed use the same ids.
 
     Raises ValueError if `timeout_ms` is below 1, if `body_bytes` is below 0, or if a GET has a body.
     """
@@ -48,7 +51,7 @@
 
 
 class RequestTracker:
-    """Starts requests, and counts the end of each one in the phase and the path in which it became due.
+    """Starts requests, and counts the end of each one on its path and in the phase in which it was started.
 
     Raises ValueError if `timeout_ms` is below 1, if `body_bytes` is below 0, or if a GET has a body.
     """
@@ -58,12 +61,12 @@
         self._timeout_s = timeout_ms / 1000 + ANSWER_GRACE_S
         self._loop = asyncio.get_running_loop()
         self.phases: dict[str, dict[RequestPath, PathStatistics]] = {}
-        self.current_phase: dict[RequestPath, PathStatistics] = {}  # Statistics of the current phase.
+        self.current_phase: dict[RequestPath, PathStatistics] = {}  # Statistics of the current phase by path.
         self.in_flight = 0
         self.all_ended = asyncio.Event()
 
     def begin_phase(self, name: str) -> None:
-        """Count the requests that become due from now on in this phase.
+        """Count the requests that are started from now on in this phase.
 
         If a phase with this name has been used before, its counts are continued.
         """
@@ -92,7 +95,7 @@
             self.all_ended.set()
 
     def _time_out(self, request: LoadRequest) -> None:
-        # The connection is closed, because a late answer would be taken for that of its next request.
+        # The connection is closed, because a late answer would be taken for the answer to its next request.
         if request.connection is not None:
             request.connection.abort()
         self.end(request, RequestOutcome.LOST, monotonic_ns())
--- a/nickelmount/fleet/role.py
+++ b/nickelmount/fleet/role.py
@@ -84,7 +84,7 @@
 def run(main: Callable[[], Awaitable[None]]) -> None:
     """Run a role until its standard input ends or it receives SIGTERM.
 
-    SIGINT is ignored: an interrupt from the terminal reaches the runner too, which then closes the input.
+    SIGINT is ignored, because an interrupt from the terminal also reaches the runner, which ends its roles.
     """
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
--- a/nickelmount/fleet/slopes.py
+++ b/nickelmount/fleet/slopes.py
@@ -43,7 +43,7 @@
 
 # The durations below are on the balancer's clock.
 CHANGE_COUNT = 200  # Number of measured changes, each of one server.
-REPEATED_LISTS = 5
+REPEATED_LISTS = 5  # Number of measured times that the complete list is applied again.
 REQUESTS_DURATION_S = 20
 REQUEST_RATE_PER_S = 70  # The rate that the operators' capacity page uses.
 REQUEST_TIMEOUT_US = 2_000_000
--- a/nickelmount/fleet/steady_changes.py
+++ b/nickelmount/fleet/steady_changes.py
@@ -11,9 +11,10 @@
 
 
 class SteadyChanges:
-    """A source of changes: one change lets a server drain, and the next one lets it serve again as restarted.
+    """A source of changes: one change lets a server drain, and the next one lets the same server serve again.
 
-    `get_list` returns the list to change. `on_change` is called after each change; its result is ignored.
+    A server that serves again has a new start time, as after a restart. `get_list` returns the list to
+    change. `on_change` is called after each change; its result is ignored.
     """
 
     def __init__(self, get_list: Callable[[], VersionedList], on_change: Callable[[], object]) -> None:
--- a/nickelmount/fleet/versioned_list.py
+++ b/nickelmount/fleet/versioned_list.py
@@ -42,7 +42,7 @@
 
 
 class VersionedList:
-    """The endpoint list, its revision, and its latest changes, of which it keeps up to `history`.
+    """The endpoint list, its revision, and up to `history` of its latest changes.
 
     Response bodies are cached until the next change, because thousands of watches ask for the same one.
     """
@@ -65,7 +65,8 @@
         entry = self._listed.get(id_)
         return None if entry is None else entry.phase
 
-    # Changes. Each call makes one new revision with all its entries, or no revision if it changes no entry.
+    # Changes. Each call of `change`, `add` or `restore` makes one new revision that contains all changed
+    # entries. If no entry changes, no revision is made.
 
     def change(self, ids: Iterable[str], phase: Phase, *, started_at_ms: int | None = None) -> int:
         """Move listed servers to a phase, and return the revision; raises KeyError if one is not listed."""
--- a/nickelmount/fleet/waiting_watches.py
+++ b/nickelmount/fleet/waiting_watches.py
@@ -47,7 +47,7 @@
         return connections
 
     def remove_expired(self, now_s: float) -> list[WatchConnection]:
-        """Remove the watches whose wait has ended, and return their connections in order of its end."""
+        """Remove the watches whose wait has ended, and return their connections, earliest slot first."""
         current_slot = int(now_s / SLOT_S)
         expired = [
             connection
--- a/nickelmount/fleet/watch_connection.py
+++ b/nickelmount/fleet/watch_connection.py
@@ -33,9 +33,10 @@
         """
 
     def on_abandoned(self, connection: WatchConnection) -> None:
-        """Handle a client that no longer needs an answer.
+        """Handle a client that no longer needs an answer, even if no call is in progress.
 
-        This is called when the client closes its side, and again when the connection closes.
+        This is called when the client closes its side, and when the connection closes, whichever side closes
+        it. It may therefore be called several times.
         """
 
     def on_all_written(self, connection: WatchConnection) -> None:
