--- a/nickelmount/fleet/fleet_processes.py
+++ b/nickelmount/fleet/fleet_processes.py
@@ -189,7 +189,7 @@
         return self._discovery
 
     async def begin_phase(self, name: str) -> None:
-        """Count the requests that become due from now on in the phase with this name."""
+        """Count the requests that the load generator starts from now on in the phase with this name."""
         if self._real is not None:
             await self._real.load_generator.call(EmptyAnswer, "phase", name=name)
 
--- a/nickelmount/fleet/load_generator.py
+++ b/nickelmount/fleet/load_generator.py
@@ -144,7 +144,7 @@
         return EmptyAnswer()
 
     async def phase(self, name: str) -> EmptyAnswer:
-        """Count the requests that become due from now on in the phase with this name."""
+        """Count the requests that are started from now on in the phase with this name."""
         self._require_started().begin_phase(name)
         return EmptyAnswer()
 
--- a/nickelmount/fleet/request_statistics.py
+++ b/nickelmount/fleet/request_statistics.py
@@ -1,4 +1,4 @@
-"""Histograms and counts of the requests that became due on one path in one phase."""
+"""Histograms and counts of the requests that were started on one path in one phase."""
 
 from __future__ import annotations
 
--- a/nickelmount/fleet/runner.py
+++ b/nickelmount/fleet/runner.py
@@ -22,7 +22,7 @@
 
 MAX_MEMORY_SHARE = 0.5  # Share of the machine's memory that all processes together may use.
 START_AND_END_TIMEOUT_S = 120.0  # Time allowed for a run in addition to the durations in the file.
-WATCH_TIMEOUT_S = 60.0  # Time allowed until all agents watch the endpoint list.
+WATCH_TIMEOUT_S = 60.0  # Maximum duration of the warm-up, by whose end all agents must watch the list.
 WATCH_POLL_INTERVAL_S = 0.1
 PROGRESS_INTERVAL_S = 2.0
 FIRST_PHASE = "steady"  # The phase from the start of the measured time until the first event.
@@ -89,7 +89,10 @@
         await self._measure()
 
     async def _warm_up(self) -> None:
-        """Wait until all agents watch the endpoint list, and at least for the warm-up time."""
+        """Wait until all agents watch the endpoint list, and at least for the warm-up time.
+
+        Raises RunError if this takes longer than WATCH_TIMEOUT_S.
+        """
         experiment, started_s = self._experiment, time.monotonic()
         agents = experiment.agents.hollow + experiment.agents.real
         while True:
