--- a/nickelmount/balancer/admission.py
+++ b/nickelmount/balancer/admission.py
@@ -92,19 +92,19 @@
         return in_flight_count + (request.draws.concurrency if is_small else 0.0) >= limit
 
     def concurrency_limit(self, request: Request, now_us: int) -> float:
-        """Return how many attempts this balancer may have in flight, so that all together bear the load.
+        """Return how many attempts this balancer may have in flight; infinity if there is no limit.
 
-        It is the largest of
+        The limit is the largest of
 
         - an even share of the capacity of all endpoints;
-        - the requests that arrive within the allowed answer time. This is reduced when capacity is lost,
-          because the traffic stays the same, and when the mean load is above what endpoints bear, because in
-          a burst all balancers send more at once;
-        - what one endpoint bears beyond the mean load, so that a burst may use it.
-
-        The first two are higher for a preferred class: one of the highest weight, or one of which nothing was
-        sent for long. Otherwise a class of the highest weight would keep the attempts in flight above the
-        limit of the others, and take every slot that becomes free.
+        - the number of requests that arrive within the allowed answer time. It is reduced when capacity is
+          lost, because the traffic stays the same, and when the mean load is above what endpoints bear,
+          because in a burst all balancers send more at once;
+        - the load that one endpoint can take beyond the mean load, so that a burst may use it.
+
+        The first two are higher for a preferred class. The classes of the highest weight are preferred, and
+        so is a class of which nothing was sent for long: otherwise the classes of the highest weight would
+        keep the attempts in flight above the limit of the others, and take every slot that becomes free.
         """
         if not self._has_limit:
             return float("inf")
@@ -129,9 +129,9 @@
         return now_us - self._last_sent_at_us.get(request_class.name, 0) > MAX_CLASS_PAUSE_US
 
     def can_wait(self, request: Request, waiting_count: int, ready_count: int, now_us: int) -> bool:
-        """Return whether a request may wait because a slot that becomes free soon can still serve it in time.
+        """Return whether a request may wait, since a slot that becomes free soon can still serve it in time.
 
-        It waits instead of being shed because a shed request would come back too late.
+        The client's retry of a shed request would come too late.
         """
         max_waiting = max(1.0, MAX_WAITING_PER_ENDPOINT * ready_count / self._instance_count)
         typical_us = self._table.typical_latency_us
--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -87,7 +87,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.now_us = 0
-        # Requests by id that have no final answer yet, or have attempts in flight.
+        # By id, the requests that have no final answer yet or have attempts in flight.
         self.requests: dict[int, Request] = {}
         self.waiting: set[int] = set()  # Ids of the requests that wait for a busy endpoint.
         self.in_flight_count = 0  # Number of attempts in flight, over all requests.
--- a/nickelmount/balancer/outlier_detection.py
+++ b/nickelmount/balancer/outlier_detection.py
@@ -25,7 +25,7 @@
 FAILURE_RATE_SMOOTHING = 0.1  # Smoothing factor of an endpoint's failure rate.
 MAX_FAILURE_STREAK = 3  # An endpoint is ejected after this many failures in a row.
 # It is ejected after this many if the last one is a failed connect or its failure rate is high.
-MAX_FAILURE_STREAK_IF_LIKELY = 2
+MAX_FAILURE_STREAK_IF_SUSPECT = 2
 HIGH_FAILURE_RATE = 0.3
 # An endpoint that has not answered for this many typical latencies is unresponsive, provided that at least
 # MIN_UNRESPONSIVE_ATTEMPTS attempts are in flight.
@@ -88,11 +88,11 @@
         fails_readmission = (
             endpoint.trial_limit > 0 and not is_connect_failure and outcome is not Outcome.RESET
         )
-        is_likely = is_connect_failure or endpoint.failure_rate > HIGH_FAILURE_RATE
+        is_suspect = is_connect_failure or endpoint.failure_rate > HIGH_FAILURE_RATE
         if (
             fails_readmission
             or endpoint.failure_streak >= MAX_FAILURE_STREAK
-            or (endpoint.failure_streak >= MAX_FAILURE_STREAK_IF_LIKELY and is_likely)
+            or (endpoint.failure_streak >= MAX_FAILURE_STREAK_IF_SUSPECT and is_suspect)
         ):
             self._eject(endpoint, outcome, now_us)
 
--- a/nickelmount/balancer/retry.py
+++ b/nickelmount/balancer/retry.py
@@ -3,9 +3,8 @@
 A request that may have run is sent again
 
 1. to any endpoint, if its class is always idempotent;
-2. only to the endpoints in the dedup scope of its first attempt that may have run, if it is idempotent with a
-   key. The endpoints surely remember the key during the dedup window less two ticks, and it is sent again
-   only during that time;
+2. to the endpoints in the dedup scope of its first attempt that may have run, if its class is idempotent with
+   a key, but only while these endpoints surely remember the key, which is the dedup window less two ticks;
 3. never, if its class is not idempotent.
 
 A request that surely never ran may be sent to any endpoint. In addition a retry budget limits the work that
--- a/nickelmount/balancer/sampling.py
+++ b/nickelmount/balancer/sampling.py
@@ -27,8 +27,8 @@
 
 Pair = tuple[TrackedEndpoint, TrackedEndpoint]
 
-MAX_DRAWS = 16  # Draws that are made at most to find two eligible samples.
-MAX_ENDPOINTS_CHECKED = 16  # Endpoints that are checked one by one at most.
+MAX_DRAWS = 16  # Maximum number of draws to find two eligible samples.
+MAX_ENDPOINTS_CHECKED = 16  # Maximum number of endpoints that are checked one by one.
 # A refresh over n endpoints serves n / 4 selections, so that its cost is shared by them.
 ENDPOINTS_PER_SELECTION = 4
 # With gossip, an endpoint is unresponsive if its silence lasts longer than this multiple of the usual one.
--- a/nickelmount/balancer/slow_start.py
+++ b/nickelmount/balancer/slow_start.py
@@ -58,11 +58,10 @@
         self._last_draw_at_us = 0
         # Draws of each endpoint by this balancer per microsecond; repeated draws for one attempt count too.
         self._draw_rate = 0.0
-        # Share of requests per unit of warm share if all endpoints are to get an even share.
-        self._even_share = 1.0
+        self._even_share = 1.0  # An even share of the requests, per unit of warm share.
 
     def refresh(self, endpoints: list[TrackedEndpoint], now_us: int) -> None:
-        """Give each endpoint an interval of the draws of requests, so that the intervals lie side by side.
+        """Assign each endpoint an interval in the range of the requests' draws, one beside the other.
 
         With independent draws, about a third of the requests would be admitted by no endpoint while the whole
         fleet is warming up.
