--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -198,26 +198,26 @@
         return self.machines[endpoint_id]
 
 
-UNEVEN, WIDE = (0.4, 1.0, 1.6), (0.25, 1.25, 1.25, 1.25)
+UNEVEN_SPEEDS, WIDELY_SPREAD_SPEEDS = (0.4, 1.0, 1.6), (0.25, 1.25, 1.25, 1.25)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize(
     ("instance_count", "speeds", "has_hints", "can_probe"),
     [
-        (3, UNEVEN, True, False),
-        (30, UNEVEN, True, False),
-        (230, UNEVEN, True, False),
+        (3, UNEVEN_SPEEDS, True, False),
+        (30, UNEVEN_SPEEDS, True, False),
+        (230, UNEVEN_SPEEDS, True, False),
         (230, (1.0,), False, False),
-        (30, WIDE, True, False),
-        (230, WIDE, True, True),
+        (30, WIDELY_SPREAD_SPEEDS, True, False),
+        (230, WIDELY_SPREAD_SPEEDS, True, True),
     ],
 )
 def test_all_balancers_together_do_not_overload_a_restarted_machine_however_small(
     instance_count: int, speeds: tuple[float, ...], has_hints: bool, can_probe: bool, seed: int
 ) -> None:
-    # Thirty or more balancers each offered a small machine what a machine of mean size bears, which was up to
-    # twice as many requests as the small one could take.
+    # Thirty or more balancers each offered a small machine what a machine of mean size bears, and together
+    # sent it up to twice as many requests as it could take.
     peak, received = BurstAtRestart(instance_count, seed, speeds, has_hints, can_probe).run()
     assert peak <= 1.0, peak
     assert received >= 40, received
