--- a/nickelmount/agent/agent.py
+++ b/nickelmount/agent/agent.py
@@ -11,11 +11,11 @@
   happens before the answer is sent, and nothing is sent to an endpoint for the request afterwards.
 - An attempt belongs to its Exchange, and is in `_in_flight`, from `_send_attempt` until the exchange has
   ended. The balancer counts attempts by their AttemptEnded events, so each SendAttempt must lead to exactly
-  one. `_on_attempt_end` dispatches it. It is called by `_on_exchange_end`, or by `_end_unsent` if no exchange
-  was started.
+  one. `_on_attempt_end` dispatches this event. It is called by `_on_exchange_end`, or by `_end_unsent` if no
+  exchange was started.
 - A connection to an endpoint belongs to an exchange or to the connection pool; see connection_pool.
-- A connection to a client belongs to the listener. The agent reaches it only by calling
-  `ClientRequest.respond` of a pending request.
+- A connection of a client belongs to the listener. The agent reaches it only through a ClientRequest: it
+  calls `respond` to answer the request and `has_client_disconnected` to learn of a close.
 """
 
 from __future__ import annotations
@@ -64,11 +64,11 @@
 
 log = logging.getLogger(__name__)
 
-# The balancer gives the final answer before a request's timeout expires. If a fault prevents that, the agent
-# gives the answer itself, this long after the timeout. The protocol allows 50 ms.
+# The balancer gives the final answer at the latest when a request's timeout expires. If a fault prevents
+# that, the agent gives the answer itself, this long after the timeout. The protocol allows a delay of 50 ms.
 FALLBACK_ANSWER_DELAY_S = 0.025
 
-NO_REQUEST_ID = 0  # The id of no request, because request ids start at 1.
+NO_REQUEST_ID = 0  # An id that no request has, because request ids start at 1.
 
 
 @dataclass(slots=True, eq=False)
@@ -174,11 +174,11 @@
                 self._dispatch(ClientDisconnected(request_id))
 
     def _on_fallback_timer(self, request_id: int) -> None:
-        log.error("request %d: the balancer gave no final answer before the timeout", request_id)
+        log.error("request %d: the balancer gave no final answer within the request's timeout", request_id)
         self._answer_failed(request_id)
 
     def _answer_failed(self, request_id: int) -> None:
-        """Answer in place of the balancer that a request has failed, if it is pending.
+        """Answer a request as failed in place of the balancer; do nothing if the request is closed.
 
         This answer leaves open whether an endpoint has run the request.
         """
@@ -195,8 +195,8 @@
     def _close_request(self, request_id: int) -> PendingRequest | None:
         """Remove a request and cancel its attempts in flight; return None if it is closed already.
 
-        This is called before the answer is sent. A client that has its answer may send the request again,
-        and by then the endpoints must have seen that the earlier attempts are closed.
+        This is called before the answer is sent. A client that has its answer may send the request again, so
+        the closes of the earlier attempts must be sent to their endpoints before the answer.
         """
         pending = self._pending.pop(request_id, None)
         if pending is not None:
@@ -211,9 +211,9 @@
     def _dispatch(self, event: Event) -> None:
         """Handle an event, or queue it if another event is being handled.
 
-        What an action starts may end while the action is being carried out, for example an attempt for which
-        no connection may be opened. If the balancer got that event at once, the remaining actions of the
-        current decision would be carried out after those of a later decision.
+        An attempt or a probe may end while the action that starts it is being carried out, for example if no
+        connection may be opened for it. If the balancer got the event of this end at once, the remaining
+        actions of the current decision would be carried out after those of a later decision.
         """
         self._queued_events.append(event)
         if self._is_dispatching:
@@ -253,7 +253,8 @@
     def _send_attempt(self, action: SendAttempt) -> None:
         pending = self._pending.get(action.request_id)
         if pending is None:
-            # The request was closed after the balancer had decided on this attempt, while events were queued.
+            # The request is closed, but the event of its end was not yet handled when the balancer decided on
+            # this attempt.
             return self._end_unsent(action)
         request = pending.client_request
         if request.has_client_disconnected():
@@ -346,7 +347,7 @@
         self._discovery.fetch(self.on_endpoint_list)
 
     def on_endpoint_list(self, endpoint_list: EndpointList | None) -> None:
-        """Apply an answer of discovery; None means that the call failed or that the watch broke."""
+        """Apply an answer of discovery; None means that a fetch or the watch has failed."""
         if endpoint_list is None:
             self._dispatch(EndpointsChanged(ListUpdateKind.FAILED, []))
             return
--- a/nickelmount/agent/assembly.py
+++ b/nickelmount/agent/assembly.py
@@ -42,7 +42,7 @@
 ) -> tuple[Agent, Listener]:
     """Build an agent and its listener; needs a running event loop.
 
-    A connection to an endpoint is not used for `settle_time_us` after each answer.
+    A connection to an endpoint is not reused until `settle_time_us` after its last response.
     """
     max_connections = max(2, config.max_sockets - RESERVED_DESCRIPTORS)
     max_client_connections = max(1, int(CLIENT_CONNECTION_SHARE * max_connections))
--- a/nickelmount/agent/config.py
+++ b/nickelmount/agent/config.py
@@ -26,8 +26,8 @@
 # An agent on sockets counts a change of the list as notified this long after it was made, or earlier if the
 # settings say so.
 MAX_NOTIFIED_AFTER_US = 6_000_000
-# A call may take the time until a change counts as notified, divided by this number. A call that fails and
-# the next call then both end within that time.
+# The balancer assumes that a call takes at most the time until a change counts as notified, divided by this
+# number. A call that fails, the delay after it and the next call then fit into that time.
 CALLS_PER_NOTIFICATION = 3
 NO_ENDPOINTS = {"revision": 0, "complete": True, "members": []}
 
--- a/nickelmount/agent/downstream.py
+++ b/nickelmount/agent/downstream.py
@@ -5,19 +5,22 @@
 - IDLE: no byte of a request has arrived since the connection was opened, or since its last answer.
 - READING: a part of a request has arrived.
 - IN_FLIGHT: a complete request is with the handler, which will answer it. If bytes other than line ends
-  arrive in this state, they are a pipelined request: they are dropped, and an error follows the answer.
+  arrive in this state, they are a pipelined request: they are dropped, and an error follows the answer unless
+  the answer is the last one on the connection.
 - LINGERING: the last answer was sent with Connection: close, and the sending side is closed. Bytes that still
-  arrive are read and dropped until the client closes. If the agent closed the connection while bytes are
+  arrive are read and dropped until the client closes the connection. If the agent closed it while bytes are
   unread, the kernel would reset it, and the client could lose the answer.
 
     IDLE -> READING -> IN_FLIGHT -> IDLE       the answer allows another request
                        IN_FLIGHT -> LINGERING  the client asked for a close, it sent a pipelined request,
                                                or the agent is draining
-    IDLE, READING -> LINGERING                 the input is malformed, or READING took too long
-    any -> closed                              the client or the listener closes the connection
+    IDLE, READING -> LINGERING                 the input is malformed or too large, two requests arrive in
+                                               one piece, or READING took too long
+    any -> LINGERING                           the agent could not handle the input because of a fault
+    any -> closed                              the client or the agent closes the connection
 
-A request that arrives in one piece skips READING. A request that needs no handler (a health check or an
-invalid request) is answered at once and skips IN_FLIGHT.
+A request that arrives in one piece skips READING. A request that does not reach the handler (a health check,
+an invalid request, or any request while the agent is rejecting) is answered at once and skips IN_FLIGHT.
 
 A client that closes only its sending side counts as disconnected, because the agent cannot tell a half-close
 from a close. The handler then drops the request in flight (RequestHandler.client_disconnected), and asyncio
@@ -80,7 +83,10 @@
         """Take over a request and call `request.respond` once, unless its client disconnects."""
 
     def client_disconnected(self, request: ClientRequest) -> None:
-        """Drop a request whose client has disconnected; it must not be answered."""
+        """Drop a request whose client has disconnected or whose connection has failed.
+
+        The handler must not answer the request.
+        """
 
     def answer_all_pending(self) -> None:
         """Answer every request that is in flight now."""
@@ -137,13 +143,13 @@
         return ClientState.IDLE
 
     def is_idle(self) -> bool:
-        """Whether no byte of a request has arrived, not even in the kernel, so that a close loses nothing."""
+        """Whether the state is IDLE and the kernel has nothing to read, so that a close loses no request."""
         return self.state is ClientState.IDLE and not self.discards_input and self.has_nothing_to_read()
 
     def has_lingered(self, duration_s: float) -> bool:
-        """Whether it has been LINGERING for longer than this and can be closed without a reset.
+        """Whether the state has been LINGERING for over `duration_s` and a close causes no reset.
 
-        This requires that the last answer is written and that the kernel has nothing to read.
+        The last answer must be written, and the kernel must have nothing to read.
         """
         return (
             self.is_lingering
@@ -167,7 +173,10 @@
         return timeouts.keepalive_s if self.has_answered else timeouts.first_byte_s
 
     def expire(self) -> None:
-        """End a connection that has exceeded its time limit."""
+        """End a connection that has exceeded the time limit of its state.
+
+        An idle connection stays open if the kernel has bytes to read, because they may be a request.
+        """
         if self.is_lingering or self.discards_input:
             self.abort()  # The client has been sent its last answer and has not closed the connection.
         elif self._reader.incomplete is not None:
@@ -177,7 +186,7 @@
         elif self.has_nothing_to_read():
             self.close()
 
-    # Called by Connection
+    # Methods that asyncio and Connection call
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Ask the listener for admission."""
@@ -200,7 +209,7 @@
             self._read(data)
 
     def on_handler_error(self) -> None:
-        """Answer with an internal error, if the connection can still send."""
+        """Drop the request in flight, and answer with an internal error if the connection can still send."""
         self._disconnect_request()
         self._send_error(HttpError(500, "internal error"))
 
@@ -228,7 +237,7 @@
             self._send_continue_if_expected(incomplete)
 
     def _send_continue_if_expected(self, message: HttpMessage) -> None:
-        """Send 100 Continue once for a request whose client waits for it before it sends the body."""
+        """Send 100 Continue once for a request whose client sends the body only after this response."""
         is_expected = message.headers.get(EXPECT, b"").lower() == b"100-continue"
         if is_expected and self._reader.has_read_head and self._continue_sent_for is not message:
             self._continue_sent_for = message
@@ -257,7 +266,7 @@
             self._send_response(error.status, [], _error_body(error))
             return
         if self.peer_has_closed():
-            self.abort()  # The client disconnected before the event loop read its request from the kernel.
+            self.abort()  # The client disconnected before the handler got its request.
             return
         request.has_client_disconnected = self.peer_has_closed
         self._request = request
@@ -279,7 +288,7 @@
     # Answers
 
     def _on_answer(self, request: ClientRequest, status: int, headers: Headers, body: bytes) -> None:
-        """Send the handler's answer, or drop it if its request is no longer in flight here."""
+        """Send the handler's answer, or drop it if its request is no longer in flight on this connection."""
         if self._request is not request:
             return
         self._release_request()
@@ -302,7 +311,10 @@
             self._linger()
 
     def _send_error(self, error: HttpError) -> None:
-        """Answer input that is not a complete valid request; nothing more is read afterwards."""
+        """Answer with an error because of incomplete, malformed or pipelined input or because of a fault.
+
+        Bytes that arrive afterwards are dropped. Nothing is sent if the last answer was sent already.
+        """
         if self.is_lingering or not self._can_send():
             return
         self.send(encode_response(error.status, [CONNECTION_CLOSE], _error_body(error)))
--- a/nickelmount/agent/http.py
+++ b/nickelmount/agent/http.py
@@ -22,7 +22,7 @@
 TRANSFER_ENCODING = b"transfer-encoding"
 SUPPORTED_VERSIONS = ("1.1", "1.0")
 STATUSES_WITHOUT_BODY = (204, 304)  # A response with a status of 1xx has no body either.
-HEADER_LINE_OVERHEAD_BYTES = 4  # A header line contains ": " and CR LF beside its name and value.
+HEADER_LINE_OVERHEAD_BYTES = 4  # A header line consists of its name, ": ", its value and CR LF.
 
 Headers = list[tuple[str, str]]
 REASON_PHRASES = {
@@ -68,12 +68,12 @@
       it, the body is checked as it arrives.
     - At most MAX_INTERIM_RESPONSES interim responses precede a final response (502).
 
-    A response whose end would be the end of its connection is an error (502), because a truncated one would
+    A response whose body would end only with the connection is an error (502), because a truncated body would
     look complete.
 
-    Public attributes, read-only for other modules: `incomplete` is the message of which only a part has
-    arrived, `has_read_head` says whether the head of the latest message is complete, and `error` is the error
-    that ended the reading.
+    Public attributes, read-only for other modules: `incomplete` is the message that has arrived only in part,
+    `has_read_head` says whether the head of the latest message is complete, and `error` is the error that
+    ended the reading.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         self._parser = parser_type(self)
         self._max_body_bytes = max_body_bytes
         self._completed: list[HttpMessage] = []  # Complete messages that `feed` has not returned yet.
-        self._head_bytes = 0  # Size of the complete lines of the latest head.
+        self._head_bytes = 0  # Size of the target and of the complete header lines of the latest head.
         # Number of bytes fed since the present message began, or since a byte of its body was last read.
         self._unfinished_bytes = 0
         self._total_body_bytes = 0  # Size of the bodies of all messages together.
@@ -111,7 +111,8 @@
             self._parser.feed_data(data)
         except HttpParserUpgrade:
             self.error = HttpError(400, "no other protocol is spoken here")
-            self._completed.clear()  # The parser has completed the request that asks for the upgrade.
+            # The parser has already reported the request that asks for the upgrade as complete.
+            self._completed.clear()
         except HttpParserError as error:
             # An HttpError that a callback has raised arrives here wrapped in a parser error.
             self.error = self.error or HttpError(400, f"malformed message: {error}")
@@ -152,7 +153,7 @@
             self.incomplete.headers[name] = value
 
     def on_headers_complete(self) -> None:
-        """Check the version and the length of the body that the head states."""
+        """Store the method or the status, and check the HTTP version and the stated length of the body."""
         message, parser = self.incomplete, self._parser
         assert message is not None
         self.has_read_head = True
--- a/nickelmount/agent/lifecycle.py
+++ b/nickelmount/agent/lifecycle.py
@@ -1,7 +1,8 @@
 """The life of an agent's process: start, reload on SIGHUP, graceful shutdown on SIGTERM or SIGINT.
 
 `main` reads the configuration and runs the event loop. `serve` creates the agent, its listener and the signal
-handlers, and returns when the last connection has ended or the shutdown's time is over.
+handlers. It returns at the end of a graceful shutdown, when no connection is left or the shutdown's time is
+over, or at once if the agent cannot listen.
 """
 
 from __future__ import annotations
@@ -29,11 +30,11 @@
 EXIT_BAD_CONFIGURATION = 2
 
 # The times of a graceful shutdown count from SIGTERM. Clients go on opening connections for 0.2 to 0.4 s. The
-# process gets SIGKILL 0.7 s after the longest deadline of a request class has passed, where a deadline above
-# 3 s counts as 3 s.
+# process gets SIGKILL after the longest deadline of a request class plus 0.7 s, where a deadline above 3 s
+# counts as 3 s.
 CLOSE_IDLE_AFTER_S = 0.1  # Idle connections are closed from this time on.
 SERVE_UNTIL_S = 0.5  # New connections are served at least until this time.
-# Requests that are still in flight get their final answer this long after the longest deadline has passed.
+# Requests that are still in flight get their final answer after the longest deadline plus this time.
 FINISH_AFTER_DEADLINE_S = 0.6
 MAX_DEADLINE_S = 3.0  # A longer deadline counts as this.
 
@@ -44,7 +45,7 @@
     clock = Clock()
     # SIGHUP would end the process until `serve` installs a handler, so it is ignored until then. A SIGHUP
     # that arrives before the file is read needs no handler, because the agent then reads the new file
-    # anyway. One that arrives after the file was read and before the handler is installed is lost.
+    # anyway. A SIGHUP that arrives after the file was read and before the handler is installed is lost.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load(os.environ, clock)
--- a/nickelmount/agent/listener.py
+++ b/nickelmount/agent/listener.py
@@ -1,17 +1,18 @@
 """The listener for clients: admits and closes their connections, and shuts the agent down gracefully.
 
-Closing a connection at the wrong moment loses a request. A connection is therefore closed only if no request
-is in flight on it and the kernel has nothing to read for it, and only for one of these reasons:
+Closing a connection at the wrong moment loses a request. The listener therefore closes an admitted connection
+only if no request is in flight on it and the kernel has nothing to read for it, and only for one of these
+reasons:
 
 - The limit on connections is reached. The connection that has been idle for the longest time is then closed
-  to admit a new one.
+  to admit a new one. If no connection can be closed, the new one is closed unread instead.
 - The connection has exceeded the time limit of its state (ClientTimeouts). A sweep at fixed intervals closes
   such connections.
-- The agent shuts down gracefully. It closes all idle connections once, and later each connection that becomes
-  idle.
+- The agent shuts down gracefully. It closes all idle connections once, except new ones, and later each
+  connection that becomes idle.
 
-The sweep also answers 408 to a request that does not arrive completely, and aborts the connection if a client
-does not read its answer or does not close the connection after its last answer.
+The sweep also answers 408 to a request that does not arrive completely in time, and aborts the connection if
+a client does not read its answer or does not close the connection after its last answer.
 """
 
 from __future__ import annotations
@@ -33,8 +34,8 @@
 # is closed again.
 MAX_ACCEPTS_PER_ITERATION = 16
 
-# A shutdown leaves a new connection open for this long. A client sends a request that was lost to a close
-# again, but not if it was the first request on its connection.
+# A shutdown leaves a connection that has had no answer open until this long after it was opened. If a close
+# loses a request, the client sends the request again, but not if it was the first one on its connection.
 FIRST_REQUEST_GRACE_S = 0.25
 # A client that has read its last answer normally closes the connection. After this time the agent may close
 # it first.
@@ -43,7 +44,8 @@
 # Graceful shutdown
 DRAIN_POLL_INTERVAL_S = 0.01  # Poll interval while requests are in flight.
 FLUSH_POLL_INTERVAL_S = 0.001  # Poll interval while the last answers are written.
-# Time for clients to read the last answers, and to reject requests on connections that were opened meanwhile.
+# Clients have this long to read the last answers. During this time, requests that arrive on connections that
+# were opened meanwhile are rejected.
 FLUSH_TIMEOUT_S = 0.05
 
 
@@ -132,9 +134,9 @@
         self.connections.discard(client)
 
     def _find_evictable(self) -> ClientConnection | None:
-        """Return the connection that has been in its state for longest and whose close loses nothing.
+        """Return the connection to be closed in favour of a new one, or None if no close is safe.
 
-        None means that no connection can be evicted.
+        Of the connections whose close loses nothing, it is the one that has been in its state for longest.
         """
         now = self._loop.time()
         candidates = [client for client in self.connections if self._is_eviction_candidate(client, now)]
@@ -145,7 +147,7 @@
         return None
 
     def _is_eviction_candidate(self, client: ClientConnection, now: float) -> bool:
-        """Whether the age of the connection allows its eviction.
+        """Whether a connection may be evicted if its close loses nothing.
 
         A connection that was used a short time ago stays, because it is likely to be used again.
         """
--- a/nickelmount/agent/request_validation.py
+++ b/nickelmount/agent/request_validation.py
@@ -6,7 +6,7 @@
 1. Host is present.
 2. No header field on which a decision depends is repeated.
 3. Request-Class names a class of the settings.
-4. The method is that of the class: GET if the class is idempotent, otherwise POST.
+4. The method is that of the class: GET if the class is idempotent without a key, otherwise POST.
 5. Request-Id is present and well-formed.
 6. Idempotency-Key is present and well-formed if the class uses one, and absent otherwise.
 7. Tenant names a tenant of the settings, if the settings have any.
--- a/nickelmount/errors.py
+++ b/nickelmount/errors.py
@@ -1,8 +1,9 @@
 """The errors that this program raises itself.
 
 A module that calls a library or the system translates their errors to these. The text of each error is one
-line for an operator, which says what went wrong and where. The balancer calls neither; it raises ValueError
-and TypeError if its caller breaks the interface. The fleet tool derives its own errors from NickelmountError.
+line for an operator, which says what went wrong and where. The balancer calls neither a library nor the
+system; it raises ValueError and TypeError if its caller breaks the interface. The fleet tool derives its own
+errors from NickelmountError.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class HttpError(NickelmountError):
-    """An HTTP message that cannot be used; `status` is the status with which a client is answered."""
+    """An HTTP message that cannot be used; if it is a request, `status` is the status of the answer."""
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
@@ -37,7 +38,7 @@
 
 
 class EndpointListError(DiscoveryError):
-    """An answer of discovery that is not a valid endpoint list."""
+    """An endpoint list from discovery or from the configuration that is not valid."""
 
 
 class StaleRevisionError(DiscoveryError):
