--- a/tests/agent_process.py
+++ b/tests/agent_process.py
@@ -42,7 +42,7 @@
     async def start(self, document: dict[str, Any]) -> None:
         """Start the process, and return when the agent listens."""
         self.write_config(json.dumps(document))
-        # The environment of the process names its first discovery until it ends.
+        # RELAY_DISCOVERY keeps the address of the first discovery until the process ends.
         env = {**os.environ, "RELAY_CONFIG": str(self._path), "RELAY_DISCOVERY": document["discovery"]}
         self._process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "nickelmount", env=env, stderr=asyncio.subprocess.PIPE
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -105,7 +105,7 @@
 
 @async_test()
 async def test_a_rejection_says_when_to_retry(tmp_path: Path) -> None:
-    """The endpoint rejects every attempt. The balancer rejects the request after its last retry."""
+    """The endpoint rejects every attempt of a request. The balancer rejects it after its last retry."""
     async with loopback_setup(tmp_path) as setup:
         client = await setup.send_request(post())
         await (await setup.next_request()).answer()
@@ -170,8 +170,8 @@
 ) -> None:
     """No connection may be opened, so an attempt ends as not sent while its action is being carried out.
 
-    The agent must queue that event until the other actions of the same decision have been carried out.
-    Otherwise the balancer would handle an event while it is handling another.
+    The agent must queue the event of that end until the other actions of the same decision have been carried
+    out. Otherwise the balancer would make another decision before the actions of this one are carried out.
     """
     balancer_handle, agent_handle_event = Balancer.handle, Agent._handle_event
     depth = max_depth = 0
@@ -212,7 +212,7 @@
     """A request is answered after the balancer has decided on an attempt and before the attempt is started.
 
     The attempt is not sent. If the agent did not report its end, the balancer would count it as in flight for
-    ever, and after some such requests its limit on attempts would be reached.
+    ever, and after a few such requests the balancer's limit on attempts in flight would be reached.
     """
     handle, agents = Balancer.handle, list[Agent]()
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -104,7 +104,7 @@
 async def test_disconnect_before_the_first_endpoint_is_listed(
     tmp_path: Path, disconnect: Disconnect, is_draining: bool
 ) -> None:
-    """A request waits for an endpoint. One is listed just after the client has disconnected."""
+    """A request waits for an endpoint. An endpoint is listed just after the client has disconnected."""
     async with agent_without_endpoints(tmp_path, is_draining) as (setup, peer):
         client = await BlockingClient(setup).accepted()
         client.socket.send(post(NOT_IDEMPOTENT))
@@ -261,7 +261,7 @@
 ) -> None:
     """A client disconnects while a connection for its request is being established.
 
-    The connection is handed over after the event loop has read the close, or in the cycle before.
+    The request gets the connection after the event loop has read the client's close, or just before that.
     """
     async with loopback_setup(tmp_path) as setup:
         connect = DelayedConnect(setup, monkeypatch)
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -14,7 +14,8 @@
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
 CHUNKED = post(drop=("Content-Length",), body=b"", Transfer_Encoding="chunked")
 
-# By Content-Length these bytes are one body. By their chunks they are the end of a body and another request.
+# To a parser that uses Content-Length, these bytes are one body. To a parser that reads chunks, they are the
+# end of a body and another request.
 SMUGGLED = b"0\r\n\r\n" + post(body=b"hidden")
 
 INVALID_FIELDS = {
@@ -101,8 +102,8 @@
 @async_test()
 async def test_invalid_input_is_answered_and_not_forwarded(tmp_path: Path, name: str) -> None:
     # If the agent and an endpoint read the same input differently, an endpoint could run a request that no
-    # client sent, or one that was answered as failed. Such input gets an error and is not forwarded. The next
-    # request is served.
+    # client sent, or a request that was answered as failed. Such input gets an error and is not forwarded.
+    # The next request is served.
     sent, status = INVALID_INPUT[name]
     async with loopback_setup(tmp_path) as setup:
         handler = RecordingHandler(setup.listener)
@@ -181,8 +182,8 @@
 async def test_endless_trailer_or_chunk_header_is_an_error_before_it_fills_the_memory(
     tmp_path: Path, begun: bytes
 ) -> None:
-    # The parser buffers a whole line of a trailer. A client that sent a line of 60 MB used up the memory of
-    # the agent.
+    # The parser buffers a line of a trailer or a chunk header until its end arrives. A client that sent a
+    # line of 60 MB used up the memory of the agent.
     async with loopback_setup(tmp_path) as setup:
         client = await setup.send_request(CHUNKED + begun)
         (connection,) = setup.listener.connections
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -73,10 +73,10 @@
             clients = await connect_idle_clients(agent, MAX_DESCRIPTORS, send_request)
             # The agent goes on calling discovery while all these connections are open.
             await agent.wait_for_log_line("call to discovery failed")
-            returned = await start_server_at(discovery.port)
-            call = await returned.requests.get()
+            restarted_discovery = await start_server_at(discovery.port)
+            call = await restarted_discovery.requests.get()
             await call.answer(200, complete_list_body(42, member("b", new.port)))
-            assert "index=42&" in (await returned.requests.get()).start_line
+            assert "index=42&" in (await restarted_discovery.requests.get()).start_line
             # One request is sent on a connection that stayed open, and one on a new connection. A new
             # connection may be closed unread while the limit on connections is reached; then the next one is
             # tried.
@@ -90,7 +90,7 @@
             for client in clients:
                 client.close()
             await agent.stop()
-        await returned.stop()
+        await restarted_discovery.stop()
 
 
 def processor_time_s(pid: int) -> float:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -21,7 +21,7 @@
 def test_modules_stay_small_and_are_listed() -> None:
     """Check that the balancer's modules stay short and that balancer.toml lists all of them.
 
-    A reader finds a rule by the file that has it.
+    This lets a reader find a rule by the file that contains it.
     """
     modules = sorted((ROOT / "nickelmount" / "balancer").glob("*.py"))
     for path in modules:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -96,7 +96,8 @@
         client.socket.send(post())
         request = await setup.next_request()
         setup.listener.is_draining = True
-        body = b"x" * 3_000  # The event loop reads this in one piece, before it reads from the client.
+        # The event loop reads a response of this size in one piece, before it reads from the client.
+        body = b"x" * 3_000
         request.connection.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
         request.connection.writer.write(body)
         readable = select.poll()
@@ -241,7 +242,7 @@
             await slow_client.write(slow_request[:50])
             agent.process.send_signal(signal.SIGTERM)
             clients: list[StreamConnection] = [slow_client]
-            for number in range(8):  # Clients connect up to 0.4 s after the signal.
+            for number in range(8):  # Clients go on connecting for up to 0.4 s after the signal.
                 client = await agent.client()
                 await client.write(post(NOT_IDEMPOTENT, Request_Id=f"9b{number}", timeout_ms="400"))
                 clients.append(client)
@@ -260,7 +261,7 @@
 async def test_a_shutdown_answers_all_requests_before_sigkill_if_deadlines_are_long(
     tmp_path: Path,
 ) -> None:
-    # SIGKILL may follow 3.7 s after SIGTERM, whatever the deadline is; here the deadline is 30 s.
+    # SIGKILL follows at most 3.7 s after SIGTERM, however long the deadline is; here it is 30 s.
     async with started_peers(2) as (discovery, endpoint):
         document = config_doc(discovery.port, [member("a", endpoint.port)])
         async with agent_process(tmp_path, document) as agent:
