--- a/nickelmount/agent/config.py
+++ b/nickelmount/agent/config.py
@@ -28,7 +28,7 @@
 MAX_NOTIFIED_AFTER_US = 6_000_000
 # The balancer assumes that a call takes at most the time until a change counts as notified, divided by this
 # number. A call that fails, the delay after it and the next call then fit into that time.
-CALLS_PER_NOTIFICATION = 3
+CALL_TIMEOUT_DIVISOR = 3
 NO_ENDPOINTS = {"revision": 0, "complete": True, "members": []}
 
 
@@ -124,5 +124,5 @@
         discovery_mode=DiscoveryMode.POLL,
         discovery_is_local=settings.discovery_mode is DiscoveryMode.PUSH,
         notified_after_us=notified_after_us,
-        list_call_timeout_us=min(int(CALL_TIMEOUT_S * 1e6), notified_after_us // CALLS_PER_NOTIFICATION),
+        list_call_timeout_us=min(int(CALL_TIMEOUT_S * 1e6), notified_after_us // CALL_TIMEOUT_DIVISOR),
     )
--- a/nickelmount/agent/request_validation.py
+++ b/nickelmount/agent/request_validation.py
@@ -4,7 +4,7 @@
 answer, whose status is always 400:
 
 1. Host is present.
-2. No header field on which a decision depends is repeated.
+2. No header field of SINGLE_HEADERS is repeated.
 3. Request-Class names a class of the settings.
 4. The method is that of the class: GET if the class is idempotent without a key, otherwise POST.
 5. Request-Id is present and well-formed.
@@ -12,7 +12,7 @@
 7. Tenant names a tenant of the settings, if the settings have any.
 8. Request-Timeout-Ms is a number from 1 to MAX_TIMEOUT_MS.
 
-Other header fields are not checked. A malformed Work-Hint counts as absent.
+The values of other header fields are not checked. A malformed Work-Hint counts as absent.
 """
 
 from __future__ import annotations
@@ -38,7 +38,8 @@
     http_names.TENANT,
     http_names.CONTENT_TYPE,
 )
-# If one of these were repeated, the agent and the endpoint could each use a different one of its values.
+# Header fields that must not be repeated. The agent and the endpoint could each use a different value of a
+# repeated field.
 SINGLE_HEADERS = frozenset(
     (
         http_names.HOST,
