--- a/nickelmount/balancer/actions.py
+++ b/nickelmount/balancer/actions.py
@@ -21,10 +21,10 @@
     endpoint_id: EndpointId
     timeout_us: int
     attempt: int = 0  # Number of the attempt within its request, as in AttemptEnded.
-    # Time in which the last byte of the request must be written; 0 if there is no limit. It applies to this
-    # attempt and to earlier ones of the request that are in flight; those that miss it end with outcome
-    # NOT_SENT. A connection may come up long after the endpoint was chosen, when the dedup window, in which
-    # endpoints drop repeats, is over.
+    # Time from now on within which the last byte of the attempt must be written; 0 if there is no limit. The
+    # limit also applies to the earlier attempts of the request that are in flight. An attempt that misses it
+    # ends with outcome NOT_SENT. The reason is that a connection may come up long after the endpoint was
+    # chosen, when the dedup window, in which endpoints drop repeats, is over.
     write_within_us: int = 0
 
 
@@ -76,17 +76,21 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Subscribe to changes of the endpoint list; exactly one EndpointsChanged answers this action."""
+    """Watch the endpoint list, and pass in EndpointsChanged for each change that the watch reports.
+
+    If the watch cannot be opened or breaks, an EndpointsChanged of kind FAILED must be passed in. The
+    balancer then opens another watch after a delay.
+    """
 
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    """Fetch the complete endpoint list once."""
+    """Fetch the complete endpoint list once, and pass in one EndpointsChanged (FAILED if that fails)."""
 
 
 @dataclass(slots=True)
 class LogMessage:
-    """Log a line for the operators: an endpoint, its change of state, and the reason. Such lines are rare."""
+    """Log a line for the operators about a change of an endpoint's state. Such lines are rare."""
 
     text: str
 
--- a/nickelmount/balancer/endpoint.py
+++ b/nickelmount/balancer/endpoint.py
@@ -27,7 +27,7 @@
 
 
 class TrackedEndpoint:
-    """The state of one endpoint. Each group of fields is maintained by the module named above it."""
+    """The state of one endpoint. The fields below the name of a module are maintained by that module."""
 
     __slots__ = (
         "capacity_hint",
@@ -71,8 +71,8 @@
         # endpoint_set.py
         self.order = order  # Sort key in the list of ready endpoints.
         self.is_ready = False  # The endpoint is in the list of ready endpoints.
-        # The start time under which warming_endpoints.py lists the endpoint; 0 if it does not list it.
-        self.warming_since_us = 0
+        # warming_endpoints.py
+        self.warming_since_us = 0  # The start time under which it is listed there; 0 if it is not listed.
         # probing.py
         self.probe_sent_at_us = 0  # Time at which the probe in flight was sent; 0 if there is none.
         self.probe_waiters: list[Request] = []  # Requests that wait for the end of that probe.
@@ -90,9 +90,10 @@
     def reset(self, now_us: int) -> None:
         """Reset everything that was learned about an earlier process under the same id."""
         # load_table.py
-        self.last_report_at_us = now_us  # Time of the last report, probe or gossip about its load.
-        self.service_time_us = 1.0  # Estimate for one request, as of the last refresh of the load table.
-        self.warm_share = 1.0  # Share of its capacity that it has warmed up to, as of the same refresh.
+        # Time of the last report, probe or gossip about its load; the time of this reset before the first.
+        self.last_report_at_us = now_us
+        self.service_time_us = 1.0  # Estimate for one request, set at each refresh by sampling.py.
+        self.warm_share = 1.0  # Share of its capacity that it has warmed up to, set at the same refresh.
         self.penalty = 0.0  # Weight of failed attempts at penalty_at_us, counted like attempts in flight.
         self.penalty_at_us = 0
         self.penalty_halving_us = MAX_PENALTY_HALVING_US  # Time after which half of the penalty is left.
--- a/nickelmount/balancer/endpoint_watch.py
+++ b/nickelmount/balancer/endpoint_watch.py
@@ -26,12 +26,13 @@
 
     A shared discovery gets the calls of all instances. The first calls are spread over time, and the backoff
     grows with the number of instances; otherwise discovery would work on calls that the agents have already
-    given up. On the other hand, a change counts as notified some time after discovery can be reached again.
-    A call that began just before that and fails, the longest backoff and the next call must fit into this
-    time.
+    given up. On the other hand, a change counts as notified `notified_after_us` after discovery can be
+    reached again. A call that began just before the end of the outage and still fails, the longest backoff
+    and the next call must together fit into this time.
 
-    A local discovery answers at once. Its changes count as notified even if no watch is open, so that the
-    next call must come well within the time for which draining endpoints may still be sent to.
+    A local discovery answers at once. Its changes count as notified even if no watch is open. The next call
+    must therefore come well within `drain_grace_us`, the time for which requests may still be sent to
+    draining endpoints.
     """
 
     def __init__(self, settings: Settings, rng: Random) -> None:
@@ -40,8 +41,8 @@
         self._is_open = False
         if settings.discovery_is_local:
             self._first_call_spread_us = 0
-            max_us = max(10 * MILLISECOND_US, settings.drain_grace_us // 4)
-            self._first_backoff_us = self._max_backoff_us = min(FIRST_BACKOFF_US, max_us)
+            max_backoff_us = max(10 * MILLISECOND_US, settings.drain_grace_us // 4)
+            self._first_backoff_us = self._max_backoff_us = min(FIRST_BACKOFF_US, max_backoff_us)
         else:
             all_calls_us = settings.instance_count * DISCOVERY_TIME_PER_CALL_US
             notified_after_us = settings.notified_after_us
@@ -65,8 +66,9 @@
     def delay_after_us(self, kind: ListUpdateKind) -> int | None:
         """Return the delay after which to open the watch, now that a list update of this kind has come.
 
-        After a failure, this is the backoff. Otherwise, it is None if the watch is open or changes are
-        pushed.
+        After FAILED, this is the backoff. Otherwise it is None if the watch is open or changes are pushed.
+        The delay of the first call, after CACHED, is random if many instances share discovery. In all other
+        cases the delay is 0.
         """
         if kind is ListUpdateKind.FAILED:
             self._is_open = False
--- a/nickelmount/balancer/events.py
+++ b/nickelmount/balancer/events.py
@@ -78,7 +78,7 @@
 
     request_id: int
     request_class: int  # Index into Settings.classes.
-    timeout_us: int  # The time that the client waits from now on.
+    timeout_us: int  # The time from now on for which the client waits for the final answer.
     tenant: int = 0  # Index into Settings.tenants.
     cost_us: int = 0  # Approximate processing time on a standard core; 0 if unknown.
     is_retry: bool = False  # An earlier request of the client was rejected or not answered.
@@ -100,7 +100,7 @@
     attempt: int  # Attempts of a request are numbered 0, 1, 2 ... in the order of its SendAttempt actions.
     endpoint_id: EndpointId
     outcome: Outcome
-    latency_us: int
+    latency_us: int  # Time since the start of the attempt, including the time to connect.
     finished: bool  # The client has its final answer, so the balancer must not give one.
     load_report: tuple[float, ...] = ()  # In the order of Settings.load_report_fields; () if there is none.
 
--- a/nickelmount/balancer/gossip.py
+++ b/nickelmount/balancer/gossip.py
@@ -48,7 +48,7 @@
     def messages(self, endpoint: TrackedEndpoint, load: float) -> list[SendGossip]:
         """Return messages with the reported load and service time of an endpoint, to random balancers.
 
-        While the mean load of the endpoints is below 2, fewer messages than the fanout are sent.
+        The number of messages is the fanout, reduced in proportion while the mean load is below 2 requests.
         """
         values = (max(0, min(MAX_UINT16, round(x))) for x in (load, endpoint.reported_service_ms))
         payload = MESSAGE.pack(gossip_tag(endpoint.id), *values)
--- a/nickelmount/balancer/load_table.py
+++ b/nickelmount/balancer/load_table.py
@@ -1,8 +1,8 @@
 """The load table: estimates of the load and the speed of each endpoint.
 
-Both are estimated from load reports and from this balancer's own attempts: how many are in flight, and how
-long they take. A load is the number of requests that an endpoint has queued or in progress. Times are in
-microseconds, except for reported service times, which are in milliseconds.
+Both are estimated from load reports and from this balancer's own attempts: how many of them are in flight,
+and how long they take. A load is the number of requests that an endpoint has queued or in progress. Times are
+in microseconds, except for reported service times, which are in milliseconds.
 """
 
 from __future__ import annotations
@@ -20,17 +20,18 @@
 # A report that is at most this old has full weight; an older one has the weight FRESH_REPORT_US / age.
 FRESH_REPORT_US = SECOND_US
 ENDPOINT_SMOOTHING_FACTOR = 0.1  # Weight of a new sample in the moving averages of an endpoint.
-MEAN_SMOOTHING_FACTOR = ENDPOINT_SMOOTHING_FACTOR / 4  # The same for means over all endpoints.
-# Weight of a new reported service time. It is larger because the endpoint reports a moving average itself.
+MEAN_SMOOTHING_FACTOR = ENDPOINT_SMOOTHING_FACTOR / 4  # The same for the means over all answers or requests.
+# Weight of a new reported service time. It is larger, because the reported value is a moving average itself.
 SERVICE_TIME_SMOOTHING_FACTOR = 0.3
-# The measured speed of an endpoint has half the weight after this number of samples.
+# After this number of samples, the speed that this balancer has measured at an endpoint has half the weight
+# in the estimate of its service time.
 HALF_WEIGHT_SAMPLES = 4
-# Its weight is halved again if the last attempt ended this long ago, so that an endpoint that was avoided is
-# tried again.
+# The weight of the measured speed is halved again if the last attempt at the endpoint ended this long ago,
+# so that an endpoint that was avoided is tried again.
 HALF_WEIGHT_AGE_US = 5 * SECOND_US
 # The penalty of a failed attempt is halved after this multiple of the typical latency.
 FAILURE_PENALTY_LATENCIES = 10
-# The same after a reset or a cancellation, when the client has left or another attempt was faster.
+# The same after a reset, or after a cancellation because the client has left or another attempt was faster.
 BROKEN_PENALTY_LATENCIES = 1
 
 
@@ -39,11 +40,12 @@
 
     def __init__(self, settings: Settings) -> None:
         fields = settings.load_report_fields
+        # Positions in a load report of the load and of the service time; -1 if they are not reported.
         self.load_column = next((fields.index(name) for name in LOAD_FIELDS if name in fields), -1)
         self.service_column = fields.index(SERVICE_TIME_FIELD) if SERVICE_TIME_FIELD in fields else -1
         self.has_capacity_hints = settings.has_capacity_hints
-        # These values are over the endpoints of the subset, as of the last refresh.
-        self.cutoffs: list[float] = []
+        # These values are computed over the endpoints of the subset at each refresh.
+        self.cutoffs: list[float] = []  # Backlog times that divide the bands, highest first.
         self.mean_load = 0.0
         self.mean_capacity_hint = 1.0
         self.median_reported_service_ms = 0.0
@@ -61,7 +63,7 @@
     def refresh_means(self, endpoints: list[TrackedEndpoint], now_us: int) -> None:
         """Compute the means and medians over the given endpoints."""
         # Reports are weighted by age, because an endpoint that is avoided for its load sends no new report,
-        # and its last one would keep the mean high.
+        # and its last one would otherwise keep the mean high.
         weights = [
             FRESH_REPORT_US / max(FRESH_REPORT_US, now_us - e.load_updated_at_us)
             if e.load_updated_at_us
@@ -132,10 +134,10 @@
     def estimate_service_time_us(self, endpoint: TrackedEndpoint, now_us: int, warm_share: float) -> float:
         """Estimate the service time of an endpoint per request of its load.
 
-        It is inversely proportional to the endpoint's capacity. The mean over all endpoints is adjusted by
-        the share of capacity that the endpoint has warmed up to, its capacity hint and its reported service
-        time. The latencies that this balancer has measured at the endpoint are then averaged in, with a
-        weight that grows with their number and falls with their age.
+        It is inversely proportional to the endpoint's capacity. The mean over all answers is adjusted by the
+        share of capacity that the endpoint has warmed up to, its capacity hint and its reported service time.
+        The speed that this balancer has measured at the endpoint is then averaged in, with a weight that
+        grows with the number of samples and falls with the time since the last attempt ended.
         """
         time_us = (self.mean_service_time_us or 1.0) / warm_share
         if self.has_capacity_hints:
@@ -217,8 +219,8 @@
             and self.load_column >= 0
             and self.mean_service_time_us
         ):
-            # The attempt has no report, but the load follows from its latency: at least the requests that the
-            # endpoint could process in this time were ahead of it.
+            # The attempt has no report, but the load follows from its latency: at least the requests that an
+            # endpoint of mean speed processes in this time were ahead of the attempt.
             load = event.latency_us / self.mean_service_time_us
             if load > self.estimated_other_in_flight(endpoint, now_us):
                 endpoint.other_in_flight = load - len(endpoint.in_flight)
@@ -227,7 +229,7 @@
         # would look idle.
         endpoint.penalty = endpoint.own_in_flight(now_us) - len(endpoint.in_flight) + 1.0
         endpoint.penalty_at_us = now_us
-        # The endpoint still processes a request that was reset or cancelled, in the usual time.
+        # The endpoint still processes a request that was reset or cancelled, but only for the usual time.
         is_broken = outcome in (Outcome.RESET, Outcome.CANCELLED)
         latencies = BROKEN_PENALTY_LATENCIES if is_broken else FAILURE_PENALTY_LATENCIES
         halving_us = int(latencies * self.typical_latency_us) or MAX_PENALTY_HALVING_US
--- a/nickelmount/balancer/probing.py
+++ b/nickelmount/balancer/probing.py
@@ -35,8 +35,8 @@
     ) -> list[TrackedEndpoint]:
         """Let a request wait for the load of both samples, and return the endpoints to probe now.
 
-        A sample is not probed again if its load is known, or if a probe for another request is in flight. The
-        request needs to wait only if request.unanswered_probes is not empty.
+        A sample is not probed if its load is known, or if a probe of it was sent at most max_load_age_us ago
+        and has not ended. The request needs to wait only if request.unanswered_probes is not empty.
         """
         request.candidates = pair
         request.unanswered_probes = []
@@ -58,8 +58,8 @@
         """End the probe of an endpoint, and yield the requests whose samples can be compared now.
 
         The samples of a request can be compared when both loads are known, or when one of the probes has
-        failed. A request that has drawn the same endpoint again waits twice for its probe; it is checked
-        again after its first comparison.
+        failed. A request that has drawn the same endpoint in two pairs is among its waiters twice. The
+        second occurrence is checked after the first comparison, which may have changed the request.
         """
         endpoint.probe_sent_at_us = 0
         waiters, endpoint.probe_waiters = endpoint.probe_waiters, []
--- a/nickelmount/balancer/settings.py
+++ b/nickelmount/balancer/settings.py
@@ -58,7 +58,8 @@
     deadline_us: int  # The longest time that a client waits, over all attempts.
     idempotency: Idempotency = Idempotency.ALWAYS
     dedup_scope: DedupScope = DedupScope.ALL  # Used for WITH_KEY only.
-    # Used for WITH_KEY only: endpoints drop repeats for this time after the first send that may have run.
+    # Used for WITH_KEY only: endpoints drop repeats for this time after the first attempt that may have run
+    # was sent.
     dedup_window_us: int = 0
     # Value of an answer within the objective, in any unit that all classes share.
     priority_weight: float = 1.0
@@ -103,8 +104,8 @@
     Raises ValueError, naming the field, if a price is negative or not finite.
     """
 
-    probe: float = 0.0  # Cost of sending one probe for each first attempt.
-    gossip: float = 0.0  # Cost of delivering 256 bytes to another balancer for each first attempt.
+    probe: float = 0.0  # The cost if one probe is sent for each first attempt.
+    gossip: float = 0.0  # The cost if 256 bytes are delivered to another balancer for each first attempt.
 
     def __post_init__(self) -> None:
         _require_not_negative(self.probe, "probe")
@@ -121,11 +122,12 @@
     instance_index: int = 0  # Number of this balancer among all, counted from 0.
     load_report_fields: tuple[str, ...] = ()  # Names of the values in a load report; () if there are none.
     discovery_mode: DiscoveryMode = DiscoveryMode.PUSH
-    # Used for POLL only: a change counts as notified this long after it was made, even without a poll.
+    # A change counts as notified this long after it was made, even without a poll. This limits the delays of
+    # the watch, unless discovery_is_local.
     notified_after_us: int = 10_000_000
-    # Used for POLL only: a call that does not wait for a change is answered or fails within this time.
+    # A call to discovery that does not wait for a change is answered or fails within this time.
     list_call_timeout_us: int = 0
-    # Used for POLL only: calls are answered at once and put no load on a shared service.
+    # Calls to discovery are answered at once and put no load on a shared service.
     discovery_is_local: bool = False
     # Time for which requests may still be sent to an endpoint after it was told to drain.
     drain_grace_us: int = 500_000
--- a/nickelmount/balancer/timers.py
+++ b/nickelmount/balancer/timers.py
@@ -1,4 +1,4 @@
-"""Delayed calls, which share one timer that the caller of the balancer has to keep."""
+"""Delayed calls. The caller of the balancer sets a timer for the earliest of them, and not one for each."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 
 class TimerQueue:
-    """A queue of delayed calls. It emits SetTimer if a call is due before the earliest pending timer."""
+    """A queue of delayed calls, which emits SetTimer so that a timer fires when the earliest call is due."""
 
     def __init__(self, emit: Callable[[Action], None]) -> None:
         self._emit = emit
-        # A heap of calls with their time, sequence number and argument, ordered by time and then by number.
+        # A heap of (due time, sequence number, call, argument), ordered by time and then by number.
         self._calls: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self._scheduled_count = 0
-        # Time at which the earliest pending timer fires, which is also its token; 0 if none is pending.
+        # Time at which the timer that was set last fires, which is also its token; 0 if it has fired or
+        # none was set. Timers that were set earlier may still be pending, and do no harm when they fire.
         self.armed_at_us = 0
 
     @property
@@ -41,7 +42,7 @@
         self._arm(now_us)
 
     def _arm(self, now_us: int) -> None:
-        """Set a timer for the earliest call, unless one that fires by then is pending."""
+        """Set a timer for the earliest call, unless the timer that was set last fires by then."""
         if self._calls and (not self.armed_at_us or self._calls[0][0] < self.armed_at_us):
             self.armed_at_us = self._calls[0][0]
             self._emit(SetTimer(max(0, self.armed_at_us - now_us), self.armed_at_us))
--- a/nickelmount/balancer/warming_endpoints.py
+++ b/nickelmount/balancer/warming_endpoints.py
@@ -14,11 +14,11 @@
 
 
 class WarmingEndpoints:
-    """The endpoints that are within the warm-up ramp, sorted by start time."""
+    """The ready endpoints that started less than the duration of the warm-up ramp ago, by start time."""
 
     def __init__(self, ramp: WarmUpRamp) -> None:
         self._ramp = ramp
-        self._by_start: list[tuple[int, TrackedEndpoint]] = []  # Start times in us, with their endpoints.
+        self._by_start: list[tuple[int, TrackedEndpoint]] = []  # Start times in us, with the endpoints.
         self._start_sum_us = 0  # Sum of all start times in _by_start.
 
     def __len__(self) -> int:
@@ -48,7 +48,7 @@
             endpoint.warming_since_us = 0
 
     def capacity(self, now_us: int) -> float:
-        """Return the minimum capacity of all these endpoints, in units of one warm endpoint.
+        """Return the least capacity that all these endpoints have together, in units of one warm endpoint.
 
         Endpoints that are warm by now are removed first.
         """
--- a/nickelmount/protocol/endpoint_list.py
+++ b/nickelmount/protocol/endpoint_list.py
@@ -1,6 +1,6 @@
 """The endpoint list: request targets for the calls to discovery, and a parser for its JSON.
 
-This is the only place that maps the names in that document (`members`, `host_port`, `locality`, `phase`,
+This is the only place that maps the names in that JSON (`members`, `host_port`, `locality`, `phase`,
 `size`, `up_since_ms`) to the names that the balancer uses. Fields that no decision uses, such as `flavor`,
 are ignored.
 """
@@ -25,8 +25,9 @@
 
 log = logging.getLogger(__name__)
 
-ENTRIES_PER_SLICE = 64  # Entries parsed in one iteration of the event loop, which takes half a millisecond.
-MAX_CAPACITY_HINT = 1e9  # Capacity hints must be below this.
+# Entries that are parsed in one iteration of the event loop, which takes half a millisecond.
+ENTRIES_PER_SLICE = 64
+MAX_CAPACITY_HINT = 1e9  # The `size` of an entry must be below this.
 STATUS_OF_PHASE = {
     "SERVING": EndpointStatus.READY,
     "DRAINING": EndpointStatus.DRAINING,
@@ -140,7 +141,10 @@
         return await self.parse_in_slices(document)
 
     def _build_list(self, document: Any, entries: list[ListedEndpoint | None]) -> EndpointList:
-        """Return the list without entries that are None, and drop unlisted endpoints from the cache."""
+        """Return the list without entries that are None.
+
+        If the list is complete, the endpoints that it does not contain are dropped from the cache.
+        """
         identified = tuple(entry for entry in entries if entry is not None)
         endpoint_list = EndpointList(int(document["revision"]), bool(document["complete"]), identified)
         if endpoint_list.is_complete:
@@ -160,7 +164,8 @@
             if cached is not None and cached[0] == used_fields:
                 return cached[1]
         except (KeyError, TypeError):
-            # A field is missing, so the entry is not cached. If the field is required, parsing logs it.
+            # The entry is not cached, because it lacks a field or is not an object. If that makes it invalid,
+            # parsing logs it.
             used_fields = ()
         listed = self._parse_or_remove(raw)
         if listed is not None:
--- a/nickelmount/simulator/codec.py
+++ b/nickelmount/simulator/codec.py
@@ -45,18 +45,19 @@
 EVENT_SIZE, ENTRY_SIZE = 48, 24  # Size in bytes of an event record and of an entry of an endpoint list.
 
 # Layouts of event records after their code, which is one byte. Each layout except DEFINE_LIST begins with the
-# number of an instance, which is one balancer.
+# number of an instance. An instance is one balancer.
 INSTANCE = struct.Struct(">H")
 SPAWN = struct.Struct(">HQII")
 DISCOVERY = struct.Struct(">HQBB")
 REQUEST = struct.Struct(">HQIIQHBI")
 RESPONSE_STARTED = struct.Struct(">HQH")
 ATTEMPT_ENDED = struct.Struct(">HQBHI6sHB4f")
-INSTANCE_AND_ID = struct.Struct(">HQ")  # Used for the id of a request and for the token of a timer.
+INSTANCE_AND_ID = struct.Struct(">HQ")  # The id is that of a request or the token of a timer.
 PROBE_ENDED = struct.Struct(">H6sHIB4f")
 GOSSIP = struct.Struct(">HHII")
 DEFINE_LIST = struct.Struct(">BII")
-ENTRY = struct.Struct(">6sHBHBfQ")
+
+ENTRY = struct.Struct(">6sHBHBfQ")  # Layout of an entry of an endpoint list in the tail.
 
 SPAWN_CODE, DISCOVERY_CODE, GOSSIP_CODE, CRASH_CODE, LIST_CODE = 10, 20, 90, 100, 110
 
@@ -107,7 +108,7 @@
     return frame[tail + offset : tail + offset + size]
 
 
-# Events. Each decoder takes the frame and the position after the record's code.
+# Events. Each decoder of a record takes the frame and the position after the record's code.
 
 
 def decode_endpoints(entries: bytes) -> list[Endpoint]:
@@ -119,7 +120,7 @@
 
 
 def decode_gossip(frame: bytes, at: int, tail: int) -> GossipReceived:
-    """Decode a gossip message from another instance."""
+    """Decode a gossip message from another instance. `tail` is the position of the tail in the frame."""
     _, sender, offset, size = GOSSIP.unpack_from(frame, at)
     return GossipReceived(sender, tail_slice(frame, tail, offset, size))
 
@@ -169,7 +170,8 @@
 }
 
 
-# Actions. Each encoder takes the instance, the action, and the reply's tail, to which it may append data.
+# Actions. Each encoder takes the number of the instance, the action, and the reply's tail, to which it may
+# append data, and returns the record.
 
 
 def _encode_send_attempt(instance: int, a: SendAttempt, tail: bytearray) -> bytes:
@@ -215,7 +217,7 @@
 
 
 def encode_text(code: int, instance: int, text: str, tail: bytearray) -> bytes:
-    """Return a record with a text, which is appended to the tail."""
+    """Return a record that refers to a text, and append the text to the tail."""
     encoded = text.encode()
     offset = len(tail)
     tail += encoded
--- a/nickelmount/simulator/host.py
+++ b/nickelmount/simulator/host.py
@@ -42,13 +42,14 @@
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
-        # Endpoint lists by number. One record defines a list, and later records refer to it by its number.
+        # Endpoint lists by number. A record defines a list, and later records of any instance refer to it.
         self._lists: dict[int, list[Endpoint]] = {}
 
     def handle_frame(self, frame: bytes) -> bytes:
         """Process one complete frame, and return the reply.
 
-        Raises FrameError, naming the clock and the byte position of the record, if the frame is invalid.
+        Raises FrameError if the frame is invalid. The message names the frame's clock and, if a record is
+        invalid, the record's byte position.
         """
         now_us, _, count = codec.FRAME_HEADER.unpack_from(frame)
         tail = codec.FRAME_HEADER.size + count * codec.EVENT_SIZE
@@ -80,32 +81,32 @@
 
         Records that define a list, or that start or stop an instance, are for the host itself.
         """
-        code, body = frame[at], at + 1
+        code, data_at = frame[at], at + 1  # The record's data begin after its code.
         if code == codec.LIST_CODE:
-            self._define_list(frame, body, tail)
+            self._define_list(frame, data_at, tail)
             return None
-        (instance,) = codec.INSTANCE.unpack_from(frame, body)
+        (instance,) = codec.INSTANCE.unpack_from(frame, data_at)
         if code == codec.SPAWN_CODE:
-            self._spawn(frame, body, tail)
+            self._spawn(frame, data_at, tail)
             return None
         if instance not in self._balancers:
             raise FrameError(f"event {code} for instance {instance}, which is not running")
         if code == codec.CRASH_CODE:
             del self._balancers[instance]
             return None
-        return instance, self._decode(code, frame, body, tail)
+        return instance, self._decode(code, frame, data_at, tail)
 
-    def _decode(self, code: int, frame: bytes, body: int, tail: int) -> Event:
+    def _decode(self, code: int, frame: bytes, data_at: int, tail: int) -> Event:
         if code == codec.DISCOVERY_CODE:
-            return self._endpoints_changed(frame, body)
+            return self._endpoints_changed(frame, data_at)
         if code == codec.GOSSIP_CODE:
-            return codec.decode_gossip(frame, body, tail)
+            return codec.decode_gossip(frame, data_at, tail)
         if code not in codec.DECODERS:
             raise FrameError(f"unknown event code {code}")
-        return codec.DECODERS[code](frame, body)
+        return codec.DECODERS[code](frame, data_at)
 
-    def _spawn(self, frame: bytes, body: int, tail: int) -> None:
-        instance, seed, offset, size = codec.SPAWN.unpack_from(frame, body)
+    def _spawn(self, frame: bytes, data_at: int, tail: int) -> None:
+        instance, seed, offset, size = codec.SPAWN.unpack_from(frame, data_at)
         text = codec.tail_slice(frame, tail, offset, size)
         try:
             document = json.loads(text)
@@ -118,13 +119,13 @@
         except SettingsError as e:
             raise FrameError(str(e)) from None
 
-    def _define_list(self, frame: bytes, body: int, tail: int) -> None:
-        number, offset, count = codec.DEFINE_LIST.unpack_from(frame, body)
+    def _define_list(self, frame: bytes, data_at: int, tail: int) -> None:
+        number, offset, count = codec.DEFINE_LIST.unpack_from(frame, data_at)
         entries = codec.tail_slice(frame, tail, offset, count * codec.ENTRY_SIZE)
         self._lists[number] = codec.decode_endpoints(entries)
 
-    def _endpoints_changed(self, frame: bytes, body: int) -> EndpointsChanged:
-        _, _, number, kind_code = codec.DISCOVERY.unpack_from(frame, body)
+    def _endpoints_changed(self, frame: bytes, data_at: int) -> EndpointsChanged:
+        _, _, number, kind_code = codec.DISCOVERY.unpack_from(frame, data_at)
         kind = codec.LIST_UPDATE_KINDS[kind_code]
         if kind is ListUpdateKind.FAILED:
             return EndpointsChanged(kind, [])
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -141,7 +141,8 @@
             max(after - at for at, after in zip(call_times, call_times[1:], strict=False)) + CALL_TIMEOUT_US
             <= NOTIFIED_AFTER_US
         )
-    # A connection that does not come up fails sooner, so that another call may fail before the one in time.
+    # A call whose connection does not come up fails sooner. The call after a second such failure must still
+    # be in time.
     for call_times in failing_call_times(instance_count, connect_timeout_us, 12 if is_small else 4):
         assert (
             max(after - at for at, after in zip(call_times, call_times[2:], strict=False))
--- a/tests/test_load_table.py
+++ b/tests/test_load_table.py
@@ -66,20 +66,22 @@
     table = driver.balancer.table
     driver.advance(20 * SECOND)
     for _ in range(400):  # About one request in thirteen may use this balancer's share of exploration.
-        for s in of_type(driver.request()[1], SendAttempt)[:1]:
-            if s.endpoint_id in ("s0", "s1"):
-                driver.end_attempt(s, Outcome.OK, 20 * MS, load_report=(1.0,))
+        for send in of_type(driver.request()[1], SendAttempt)[:1]:
+            if send.endpoint_id in ("s0", "s1"):
+                driver.end_attempt(send, Outcome.OK, 20 * MS, load_report=(1.0,))
     assert table.mean_load < 6, table.mean_load
 
 
 def test_a_few_overloaded_endpoints_do_not_make_the_others_look_fast() -> None:
     # Overloaded endpoints report a hundred times the service time of the others. Three of them dominate the
-    # mean of 17, so that the other endpoints are compared with the median.
+    # mean of all 17, so each endpoint is compared with the median instead.
     driver = BalancerDriver(NON_IDEMPOTENT, endpoint_count=17, load_report_fields=("inflight", "latency_ms"))
     for _ in range(51):
-        for s in of_type(driver.request()[1], SendAttempt):
-            is_overloaded = s.endpoint_id in ("s0", "s1", "s2")
-            driver.end_attempt(s, Outcome.OK, 50 * MS, load_report=(1.0, 5000.0 if is_overloaded else 50.0))
+        for send in of_type(driver.request()[1], SendAttempt):
+            is_overloaded = send.endpoint_id in ("s0", "s1", "s2")
+            driver.end_attempt(
+                send, Outcome.OK, 50 * MS, load_report=(1.0, 5000.0 if is_overloaded else 50.0)
+            )
         driver.advance(20 * MS)
     table, endpoints = driver.balancer.table, driver.balancer.endpoints.by_id
     assert endpoints["s0"].reported_service_ms > 1000
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -12,9 +12,9 @@
     """Make `count` requests at regular intervals, answer each at once, and return the endpoints' ids."""
     sampled: set[object] = set()
     for _ in range(count):
-        for s in of_type(driver.request()[1], SendAttempt):
-            sampled.add(s.endpoint_id)
-            driver.end_attempt(s, Outcome.OK, 20 * MS, load_report=(1.0,))
+        for send in of_type(driver.request()[1], SendAttempt):
+            sampled.add(send.endpoint_id)
+            driver.end_attempt(send, Outcome.OK, 20 * MS, load_report=(1.0,))
         driver.advance(interval_us)
     return sampled
 
@@ -72,9 +72,9 @@
     for _ in range(400):
         sent = of_type(driver.request()[1], SendAttempt)
         while sent:
-            s = sent.pop()
-            sampled.add(s.endpoint_id)
-            outcome = Outcome.CONNECT_FAILED if s.endpoint_id in failed else Outcome.OK
-            sent += of_type(driver.end_attempt(s, outcome, 20 * MS), SendAttempt)
+            send = sent.pop()
+            sampled.add(send.endpoint_id)
+            outcome = Outcome.CONNECT_FAILED if send.endpoint_id in failed else Outcome.OK
+            sent += of_type(driver.end_attempt(send, outcome, 20 * MS), SendAttempt)
         driver.advance(100 * MS)
     assert len(sampled - failed) >= 15
