--- a/nickelmount/balancer/endpoint.py
+++ b/nickelmount/balancer/endpoint.py
@@ -100,8 +100,10 @@
         self.other_in_flight = 0.0  # Estimated attempts of all other balancers at load_updated_at_us.
         self.load_updated_at_us = 0  # Time at which other_in_flight was last set; 0 if it never was.
         self.reported_service_ms = 0.0  # Moving average of reported service times; 0 if there were none.
-        self.latency_us = 0.0  # Moving average of the latency of its answers and long timeouts.
-        self.load_at_send = 0.0  # Moving average of its load when those attempts were sent.
+        # Moving average of the latencies of its successes, and of timeouts longer than the typical latency.
+        self.latency_us = 0.0
+        # Moving average of its load when those attempts were sent, or of the reported load if that is higher.
+        self.load_at_send = 0.0
         self.sample_count = 0  # Number of samples in the averages latency_us and load_at_send.
         self.last_success_at_us = 0
         self.last_attempt_ended_at_us = 0
--- a/nickelmount/balancer/endpoint_set.py
+++ b/nickelmount/balancer/endpoint_set.py
@@ -28,7 +28,7 @@
         self.by_gossip_tag: dict[int, TrackedEndpoint] = {}
         self.ready: list[TrackedEndpoint] = []  # Sorted by TrackedEndpoint.order.
         self.warming = WarmingEndpoints(ramp)  # Those ready endpoints that are warming up.
-        # Removed endpoints may still have attempts or probes in flight.
+        # Removed endpoints are kept while they have attempts or probes in flight.
         self.removed: dict[EndpointId, TrackedEndpoint] = {}
         self._created_count = 0  # Number of TrackedEndpoint objects that were ever created.
 
--- a/nickelmount/balancer/load_table.py
+++ b/nickelmount/balancer/load_table.py
@@ -20,7 +20,7 @@
 # A report that is at most this old has full weight; an older one has the weight FRESH_REPORT_US / age.
 FRESH_REPORT_US = SECOND_US
 ENDPOINT_SMOOTHING_FACTOR = 0.1  # Weight of a new sample in the moving averages of an endpoint.
-MEAN_SMOOTHING_FACTOR = ENDPOINT_SMOOTHING_FACTOR / 4  # The same for the means over all answers or requests.
+MEAN_SMOOTHING_FACTOR = ENDPOINT_SMOOTHING_FACTOR / 4  # The same for means over all requests or successes.
 # Weight of a new reported service time. It is larger, because the reported value is a moving average itself.
 SERVICE_TIME_SMOOTHING_FACTOR = 0.3
 # After this number of samples, the speed that this balancer has measured at an endpoint has half the weight
@@ -50,10 +50,11 @@
         self.mean_capacity_hint = 1.0
         self.median_reported_service_ms = 0.0
         self.median_last_report_at_us = 0
-        # These values are moving averages over all requests or answers.
-        self.mean_cost_us = 0.0  # Mean cost hint of requests; 0 if there was none yet.
-        self.mean_service_time_us = 0.0  # 0 if there was no answer yet.
-        self.typical_latency_us = 0.0  # 0 if there was no answer yet.
+        # These values are moving averages over all requests or over all successful attempts.
+        self.mean_cost_us = 0.0  # Cost hint of a request; 0 if there was none yet.
+        # Latency divided by the load at the time of sending; 0 before the first success.
+        self.mean_service_time_us = 0.0
+        self.typical_latency_us = 0.0  # Latency of an attempt; 0 before the first success.
 
     @property
     def has_load_reports(self) -> bool:
@@ -88,8 +89,8 @@
     def estimated_other_in_flight(self, endpoint: TrackedEndpoint, now_us: int) -> float:
         """Estimate how many attempts all other balancers have in flight at an endpoint.
 
-        The estimate is the last report, which gives way to the mean load of all endpoints as it ages. An
-        endpoint without a report starts at that mean. A warming endpoint starts at the mean times the share
+        The estimate is the last report, which gives way to the mean load of the subset as it ages. For an
+        endpoint without a report it is that mean. For a warming endpoint the mean is multiplied by the share
         of its capacity that it has, because it started empty and has not been sent more since then.
         """
         load = self.mean_load * endpoint.warm_share
@@ -134,10 +135,10 @@
     def estimate_service_time_us(self, endpoint: TrackedEndpoint, now_us: int, warm_share: float) -> float:
         """Estimate the service time of an endpoint per request of its load.
 
-        It is inversely proportional to the endpoint's capacity. The mean over all answers is adjusted by the
-        share of capacity that the endpoint has warmed up to, its capacity hint and its reported service time.
-        The speed that this balancer has measured at the endpoint is then averaged in, with a weight that
-        grows with the number of samples and falls with the time since the last attempt ended.
+        It is inversely proportional to the endpoint's capacity. The mean over all successes is adjusted by
+        the share of capacity that the endpoint has warmed up to, its capacity hint and its reported service
+        time. The speed that this balancer has measured at the endpoint is then averaged in, with a weight
+        that grows with the number of samples and falls with the time since the last attempt ended.
         """
         time_us = (self.mean_service_time_us or 1.0) / warm_share
         if self.has_capacity_hints:
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -30,9 +30,9 @@
 
 
 def call_times_of_fleet(instance_count: int, seconds: int) -> list[float]:
-    """Return the sorted times, in s, of all calls to discovery by a fleet whose balancers start at once.
+    """Return the sorted times, in s, of all calls to discovery by a fleet whose balancers start together.
 
-    Each call fails at once.
+    Each call fails immediately.
     """
     call_times: list[float] = []
     for seed in range(instance_count):
@@ -54,7 +54,7 @@
 
 
 def test_instances_that_start_at_once_do_not_call_discovery_at_once() -> None:
-    # Of 40 simultaneous calls discovery answers 15 in time. If all instances called at once, it would stay
+    # Of 40 simultaneous calls discovery answers 15 in time. If all instances called together, it would stay
     # busy with calls that have waited too long, and answer none of them.
     call_times = call_times_of_fleet(40, 3)
     calls_by_interval = [
@@ -104,7 +104,7 @@
 def failing_call_times(instance_count: int, call_duration_us: int, count: int) -> list[list[int]]:
     """Return the times at which each balancer of a fleet calls a discovery that is down.
 
-    The watches of all balancers break at once. Each call fails after `call_duration_us`.
+    The watches of all balancers break at the same time. Each call fails after `call_duration_us`.
     """
     fleet = []
     for seed in range(instance_count):
