--- a/nickelmount/balancer/settings.py
+++ b/nickelmount/balancer/settings.py
@@ -127,7 +127,7 @@
     notified_after_us: int = 10_000_000
     # A call to discovery that does not wait for a change is answered or fails within this time.
     list_call_timeout_us: int = 0
-    # Calls to discovery are answered at once and put no load on a shared service.
+    # Whether calls to discovery are answered immediately and put no load on a shared service.
     discovery_is_local: bool = False
     # Time for which requests may still be sent to an endpoint after it was told to drain.
     drain_grace_us: int = 500_000
--- a/nickelmount/balancer/warming_endpoints.py
+++ b/nickelmount/balancer/warming_endpoints.py
@@ -14,7 +14,7 @@
 
 
 class WarmingEndpoints:
-    """The ready endpoints that started less than the duration of the warm-up ramp ago, by start time."""
+    """The ready endpoints that are within the duration of the warm-up ramp, in order of start time."""
 
     def __init__(self, ramp: WarmUpRamp) -> None:
         self._ramp = ramp
--- a/nickelmount/simulator/__main__.py
+++ b/nickelmount/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Serves the simulator on standard input and output: ``python -m nickelmount.simulator``.
+"""Serves the simulator on standard input and output: `python -m nickelmount.simulator`.
 
 Invalid input causes one line on standard error and exit status 2.
 """
