--- a/nickelmount/balancer/endpoint.py
+++ b/nickelmount/balancer/endpoint.py
@@ -27,7 +27,7 @@
 
 
 class TrackedEndpoint:
-    """The state of one endpoint. Each group of fields is maintained by the module named above it."""
+    """The state of one endpoint. The fields below the name of a module are maintained by that module."""
 
     __slots__ = (
         "capacity_hint",
@@ -71,8 +71,8 @@
         # endpoint_set.py
         self.order = order  # Sort key in the list of ready endpoints.
         self.is_ready = False  # The endpoint is in the list of ready endpoints.
-        # The start time under which warming_endpoints.py lists the endpoint; 0 if it does not list it.
-        self.warming_since_us = 0
+        # warming_endpoints.py
+        self.warming_since_us = 0  # The start time under which it is listed there; 0 if it is not listed.
         # probing.py
         self.probe_sent_at_us = 0  # Time at which the probe in flight was sent; 0 if there is none.
         self.probe_waiters: list[Request] = []  # Requests that wait for the end of that probe.
@@ -90,17 +90,20 @@
     def reset(self, now_us: int) -> None:
         """Reset everything that was learned about an earlier process under the same id."""
         # load_table.py
-        self.last_report_at_us = now_us  # Time of the last report, probe or gossip about its load.
-        self.service_time_us = 1.0  # Estimate for one request, as of the last refresh of the load table.
-        self.warm_share = 1.0  # Share of its capacity that it has warmed up to, as of the same refresh.
+        # Time of the last report, probe or gossip about its load; the time of this reset before the first.
+        self.last_report_at_us = now_us
+        self.service_time_us = 1.0  # Estimate for one request, set at each refresh by sampling.py.
+        self.warm_share = 1.0  # Share of its capacity that it has warmed up to, set at the same refresh.
         self.penalty = 0.0  # Weight of failed attempts at penalty_at_us, counted like attempts in flight.
         self.penalty_at_us = 0
         self.penalty_halving_us = MAX_PENALTY_HALVING_US  # Time after which half of the penalty is left.
         self.other_in_flight = 0.0  # Estimated attempts of all other balancers at load_updated_at_us.
         self.load_updated_at_us = 0  # Time at which other_in_flight was last set; 0 if it never was.
         self.reported_service_ms = 0.0  # Moving average of reported service times; 0 if there were none.
-        self.latency_us = 0.0  # Moving average of the latency of its answers and long timeouts.
-        self.load_at_send = 0.0  # Moving average of its load when those attempts were sent.
+        # Moving average of the latencies of its successes, and of timeouts longer than the typical latency.
+        self.latency_us = 0.0
+        # Moving average of its load when those attempts were sent, or of the reported load if that is higher.
+        self.load_at_send = 0.0
         self.sample_count = 0  # Number of samples in the averages latency_us and load_at_send.
         self.last_success_at_us = 0
         self.last_attempt_ended_at_us = 0
