--- a/tests/test_balancer_model.py
+++ b/tests/test_balancer_model.py
@@ -1,7 +1,13 @@
-"""The four rules under adversarial orders of events.
+"""The four rules that a balancer must keep, under adversarial orders of events.
 
-A state machine plays a legal but hostile world to one balancer; Checker judges the actions from the interface
-alone and shares no code with the module. One balancer broken on purpose for each rule shows that it sees it.
+1. Each request gets one final answer in time, and nothing is sent for it afterwards.
+2. A request that may have run is sent again only if its idempotency permits it.
+3. Nothing is sent to an endpoint that is draining or removed.
+4. A warming endpoint is not overloaded.
+
+A state machine acts as a correct but hostile caller of one balancer. Checker judges the actions by the public
+interface alone, and shares no code with the balancer. For each rule there is a balancer that breaks it on
+purpose, which shows that the checker notices.
 """
 
 from __future__ import annotations
@@ -50,104 +56,119 @@
 from nickelmount.balancer.settings import DedupScope, DiscoveryMode, Idempotency, RequestClass, Settings
 
 MS, SECOND = 1_000, 1_000_000
-PROVEN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+NEVER_RAN_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 @dataclass
 class Attempt:
     endpoint: Endpoint
-    sent_at: int
-    ends_by: int
-    ended: Outcome | None = None
-    cancelled: bool = False
+    sent_at_us: int
+    timeout_at_us: int
+    outcome: Outcome | None = None  # None while the attempt is in flight.
+    is_cancelled: bool = False
 
 
 @dataclass
-class Taken:
-    cls: RequestClass
-    deadline: int
+class ArrivedRequest:
+    request_class: RequestClass
+    deadline_us: int
     attempts: list[Attempt] = field(default_factory=list)
-    answered: bool = False  # by us, by an attempt, or no longer owed
+    is_answered: bool = False  # True as well if no answer is needed any more.
 
 
 class Checker:
-    """Judges each action when it is taken, and each deadline when it has passed."""
+    """Checks each action when it is returned, and each deadline when it has passed."""
 
-    def __init__(self, told: Settings) -> None:
-        self.told = told
-        self.listed: dict[Any, Endpoint] = {}
-        self.requests: dict[int, Taken] = {}
+    def __init__(self, balancer_settings: Settings) -> None:
+        self.balancer_settings = balancer_settings
+        self.endpoints: dict[Any, Endpoint] = {}
+        self.requests: dict[int, ArrivedRequest] = {}
         self.arrivals: list[int] = []
-        self.cold_sends: dict[Any, list[int]] = {}
-        self.fewest_ready = 0  # since the last list event the share of each server has been at most 1 / this
-
-    def send(self, now: int, a: SendAttempt) -> None:
-        r, told = self.requests[a.request_id], self.told
-        assert not r.answered, "rule 1: sent after the final answer"
-        assert now < r.deadline, "rule 1: sent after the client's time"
-        assert now + a.timeout_us <= r.deadline + told.answer_slack_us, "rule 1: may outlast the client"
-        assert len(r.attempts) < told.max_attempts, "more attempts than allowed"
-        b = self.listed.get(a.endpoint_id)
-        assert b is not None, "sent to a server that no list has named"
-        assert b.status is EndpointStatus.READY, "rule 3: sent to a server that drains or is gone"
-        maybe = [x for x in r.attempts if x.ended not in PROVEN]
-        if r.cls.idempotency is Idempotency.NEVER:
-            assert not maybe, "rule 2: unsafe sent again though it may have run"
-        if r.cls.idempotency is Idempotency.WITH_KEY and maybe:
-            assert now <= maybe[0].sent_at + r.cls.dedup_window_us, (
-                "rule 2: keyed sent again after its window"
+        self.warming_sends: dict[Any, list[int]] = {}
+        self.fewest_ready = 0  # The fewest ready endpoints at any time, but at least 1.
+
+    def check_send(self, now: int, action: SendAttempt) -> None:
+        request, config = self.requests[action.request_id], self.balancer_settings
+        assert not request.is_answered, "rule 1: sent after the final answer"
+        assert now < request.deadline_us, "rule 1: sent after the client's timeout"
+        assert now + action.timeout_us <= request.deadline_us + config.answer_slack_us, (
+            "rule 1: attempt may end after the client's timeout"
+        )
+        assert len(request.attempts) < config.max_attempts, "more attempts than allowed"
+        endpoint = self.endpoints.get(action.endpoint_id)
+        assert endpoint is not None, "sent to an endpoint that was never listed"
+        assert endpoint.status is EndpointStatus.READY, "rule 3: sent to a draining or removed endpoint"
+        may_have_run = [earlier for earlier in request.attempts if earlier.outcome not in NEVER_RAN_OUTCOMES]
+        if request.request_class.idempotency is Idempotency.NEVER:
+            assert not may_have_run, "rule 2: non-idempotent request sent again though it may have run"
+        if request.request_class.idempotency is Idempotency.WITH_KEY and may_have_run:
+            assert now <= may_have_run[0].sent_at_us + request.request_class.dedup_window_us, (
+                "rule 2: request with key sent again after its dedup window"
             )
-            for x in maybe:
-                same = {
+            for earlier in may_have_run:
+                is_in_scope = {
                     DedupScope.ALL: True,
-                    DedupScope.ZONE: x.endpoint.zone == b.zone,
-                    DedupScope.CELL: x.endpoint.cell == b.cell,
+                    DedupScope.ZONE: earlier.endpoint.zone == endpoint.zone,
+                    DedupScope.CELL: earlier.endpoint.cell == endpoint.cell,
                 }
-                assert same[r.cls.dedup_scope], "rule 2: keyed sent outside its group"
-        if not told.can_hedge:
-            assert all(x.ended for x in r.attempts), "rule 2: two attempts out at once"
-        r.attempts.append(Attempt(replace(b), now, now + a.timeout_us))
-        if b.started_at_us and now < b.started_at_us + told.warm_up_us:
-            self.cold(now, b)
-
-    def cold(self, now: int, b: Endpoint) -> None:
-        sends = self.cold_sends.setdefault((b.id, b.started_at_us), [])
+                assert is_in_scope[request.request_class.dedup_scope], (
+                    "rule 2: request with key sent again outside its dedup scope"
+                )
+        if not config.can_hedge:
+            assert all(earlier.outcome for earlier in request.attempts), (
+                "rule 2: two attempts in flight at once"
+            )
+        request.attempts.append(Attempt(replace(endpoint), now, now + action.timeout_us))
+        if endpoint.started_at_us and now < endpoint.started_at_us + config.warm_up_us:
+            self.check_warming(now, endpoint)
+
+    def check_warming(self, now: int, endpoint: Endpoint) -> None:
+        sends = self.warming_sends.setdefault((endpoint.id, endpoint.started_at_us), [])
         sends.append(now)
-        told, ramp = self.told, (now - b.started_at_us) / self.told.warm_up_us
-        warm = told.warm_up_start_capacity + (1 - told.warm_up_start_capacity) * ramp
-        window = [t for t in sends if t > now - told.overload_window_us]
-        seen = sum(t > now - told.overload_window_us for t in self.arrivals)
-        part = seen / self.fewest_ready  # what a warm server would have been sent of this balancer's requests
-        assert len(window) <= told.overload_multiple * part * warm + 3, "rule 4: pushes over a cold server"
-
-    def final(self, a: RejectRequest | FailRequest) -> None:
-        r = self.requests[a.request_id]
-        assert not r.answered, "rule 1: a second final answer"
-        if isinstance(a, RejectRequest):
-            assert 0 <= a.retry_after_us <= self.told.max_retry_after_us
-            if any(x.ended not in PROVEN for x in r.attempts):
-                safe = r.cls.idempotency is Idempotency.ALWAYS
-                assert safe or (
-                    r.cls.idempotency is Idempotency.WITH_KEY and r.cls.dedup_scope is DedupScope.ALL
-                ), "rule 2: refused"
-        r.answered = True
-
-    def passed(self, now: int) -> None:
-        for r in self.requests.values():
-            assert r.answered or now <= r.deadline + self.told.answer_slack_us, "rule 1: no answer in time"
-
-
-class Orders(RuleBasedStateMachine):
-    """A legal world: time-outs end on time, timers fire on time, all else comes in any order."""
+        config, progress = (
+            self.balancer_settings,
+            (now - endpoint.started_at_us) / self.balancer_settings.warm_up_us,
+        )
+        warm_share = config.warm_up_start_capacity + (1 - config.warm_up_start_capacity) * progress
+        sends_in_window = [t for t in sends if t > now - config.overload_window_us]
+        arrivals_in_window = sum(t > now - config.overload_window_us for t in self.arrivals)
+        # What a warm endpoint would have been sent of this balancer's requests.
+        even_share = arrivals_in_window / self.fewest_ready
+        assert len(sends_in_window) <= config.overload_multiple * even_share * warm_share + 3, (
+            "rule 4: overloads a warming endpoint"
+        )
+
+    def check_final_answer(self, action: RejectRequest | FailRequest) -> None:
+        request = self.requests[action.request_id]
+        assert not request.is_answered, "rule 1: a second final answer"
+        if isinstance(action, RejectRequest):
+            assert 0 <= action.retry_after_us <= self.balancer_settings.max_retry_after_us
+            if any(earlier.outcome not in NEVER_RAN_OUTCOMES for earlier in request.attempts):
+                is_idempotent = request.request_class.idempotency is Idempotency.ALWAYS
+                assert is_idempotent or (
+                    request.request_class.idempotency is Idempotency.WITH_KEY
+                    and request.request_class.dedup_scope is DedupScope.ALL
+                ), "rule 2: rejected though a retry by the client is not harmless"
+        request.is_answered = True
+
+    def check_deadlines(self, now: int) -> None:
+        for request in self.requests.values():
+            assert (
+                request.is_answered or now <= request.deadline_us + self.balancer_settings.answer_slack_us
+            ), "rule 1: no answer in time"
+
+
+class HostileCaller(RuleBasedStateMachine):
+    """A caller that fires timers and ends timeouts on time, and delivers all other events in any order."""
 
     @staticmethod
-    def make(told: Settings, seed: int) -> Balancer:
-        return Balancer(told, seed)
+    def make(balancer_settings: Settings, seed: int) -> Balancer:
+        return Balancer(balancer_settings, seed)
 
     @initialize(data=st.data())
     def start(self, data: st.DataObject) -> None:
         draw = data.draw
-        cls = st.builds(
+        request_class = st.builds(
             RequestClass,
             name=st.uuids().map(str),
             latency_objective_us=st.sampled_from([1, 20 * MS, 300 * MS]),
@@ -160,8 +181,8 @@
             objective_stretch=st.sampled_from([0.0, 2.0]),
         )
         tick = draw(st.sampled_from([0, MS, 5 * MS]))
-        self.told = Settings(
-            classes=tuple(draw(st.lists(cls, min_size=1, max_size=3))),
+        self.balancer_settings = Settings(
+            classes=tuple(draw(st.lists(request_class, min_size=1, max_size=3))),
             tick_us=tick,
             answer_slack_us=draw(st.sampled_from([0, 4 * tick])),
             discovery_mode=draw(st.sampled_from(DiscoveryMode)),
@@ -177,145 +198,175 @@
             warm_up_us=draw(st.sampled_from([0, SECOND, 10 * SECOND])),
             overload_multiple=draw(st.sampled_from([0.5, 3.0])),
         )
-        self.tick, self.now, self.count = tick or 1, 100 * SECOND, 0
-        self.timers: list[tuple[int, int]] = []
-        self.probes: list[Any] = []  # probes not answered yet
-        self.calls = 0  # list calls not answered yet
-        self.checker = Checker(self.told)
-        self.balancer = self.make(self.told, 1)
-        n = draw(st.sampled_from([0, 1, 2, 7, 30]))
-        self.lists(ListUpdateKind.CACHED, [Endpoint(i, zone=i % 2, cell=i % 3) for i in range(n)])
-
-    def event(self, e: Event) -> None:
-        for a in self.balancer.handle(self.now, e):
-            self.act(a)
-
-    def act(self, a: Action) -> None:
-        if isinstance(a, SendAttempt):
-            self.checker.send(self.now, a)
-        elif isinstance(a, RejectRequest | FailRequest):
-            self.checker.final(a)
-        elif isinstance(a, CancelAttempt):
-            assert self.told.can_cancel
-            self.checker.requests[a.request_id].attempts[a.attempt].cancelled = True
-        elif isinstance(a, SetTimer):
-            self.timers.append((self.now + a.delay_us, a.token))
-        elif isinstance(a, SendProbe):
-            assert self.told.can_probe
-            assert a.endpoint_id in self.checker.listed
-            self.probes.append(a.endpoint_id)
-        elif isinstance(a, WatchEndpoints | FetchEndpoints):
-            self.calls += 1
+        self.tick_us, self.now, self.request_count = tick or 1, 100 * SECOND, 0
+        self.timers: list[tuple[int, int]] = []  # The time at which each one fires, and its token.
+        self.probed_ids: list[Any] = []  # Endpoint ids of the probes in flight.
+        self.list_calls = 0  # Number of list calls in flight.
+        self.checker = Checker(self.balancer_settings)
+        self.balancer = self.make(self.balancer_settings, 1)
+        endpoint_count = draw(st.sampled_from([0, 1, 2, 7, 30]))
+        self.update_list(
+            ListUpdateKind.CACHED, [Endpoint(i, zone=i % 2, cell=i % 3) for i in range(endpoint_count)]
+        )
+
+    def event(self, event: Event) -> None:
+        for action in self.balancer.handle(self.now, event):
+            self.carry_out(action)
+
+    def carry_out(self, action: Action) -> None:
+        if isinstance(action, SendAttempt):
+            self.checker.check_send(self.now, action)
+        elif isinstance(action, RejectRequest | FailRequest):
+            self.checker.check_final_answer(action)
+        elif isinstance(action, CancelAttempt):
+            assert self.balancer_settings.can_cancel
+            self.checker.requests[action.request_id].attempts[action.attempt].is_cancelled = True
+        elif isinstance(action, SetTimer):
+            self.timers.append((self.now + action.delay_us, action.token))
+        elif isinstance(action, SendProbe):
+            assert self.balancer_settings.can_probe
+            assert action.endpoint_id in self.checker.endpoints
+            self.probed_ids.append(action.endpoint_id)
+        elif isinstance(action, WatchEndpoints | FetchEndpoints):
+            self.list_calls += 1
         else:
-            assert isinstance(a, LogMessage)
+            assert isinstance(action, LogMessage)
 
-    def lists(self, kind: ListUpdateKind, backends: list[Endpoint]) -> None:
-        known = self.checker.listed
+    def update_list(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
+        known = self.checker.endpoints
         if kind in (ListUpdateKind.FULL, ListUpdateKind.CACHED):
-            for b in known.values():
-                b.status = EndpointStatus.REMOVED
-        for b in backends:
-            known[b.id] = replace(b)
-        ready = sum(b.status is EndpointStatus.READY for b in known.values())
-        self.checker.fewest_ready = min(self.checker.fewest_ready or ready, ready) or 1
-        self.event(EndpointsChanged(kind, backends))
-
-    def out(self) -> list[tuple[int, int, Attempt]]:
+            for endpoint in known.values():
+                endpoint.status = EndpointStatus.REMOVED
+        for endpoint in endpoints:
+            known[endpoint.id] = replace(endpoint)
+        ready_count = sum(endpoint.status is EndpointStatus.READY for endpoint in known.values())
+        self.checker.fewest_ready = min(self.checker.fewest_ready or ready_count, ready_count) or 1
+        self.event(EndpointsChanged(kind, endpoints))
+
+    def attempts_in_flight(self) -> list[tuple[int, int, Attempt]]:
+        """Return the attempts in flight, each with its request id and its number."""
         return [
-            (q, i, x)
-            for q, r in self.checker.requests.items()
-            for i, x in enumerate(r.attempts)
-            if x.ended is None
+            (request_id, number, attempt)
+            for request_id, request in self.checker.requests.items()
+            for number, attempt in enumerate(request.attempts)
+            if attempt.outcome is None
         ]
 
-    def end(self, request: int, attempt: int, outcome: Outcome) -> None:
-        r = self.checker.requests[request]
-        x = r.attempts[attempt]
-        x.ended = outcome
-        finished = outcome is Outcome.OK and not r.answered
-        r.answered = r.answered or finished
-        took = self.now - x.sent_at
-        self.event(AttemptEnded(request, attempt, x.endpoint.id, outcome, took, finished, (3.0,)))
-
-    @rule(many=st.integers(1, 12), cls=st.integers(0, 2), patience=st.sampled_from([0, 1, 30 * MS, SECOND]))
-    def arrive(self, many: int, cls: int, patience: int) -> None:
-        for _ in range(many):
-            self.count += 1
-            cls %= len(self.told.classes)
-            self.checker.requests[self.count] = Taken(self.told.classes[cls], self.now + patience)
+    def end_attempt(self, request_id: int, number: int, outcome: Outcome) -> None:
+        request = self.checker.requests[request_id]
+        attempt = request.attempts[number]
+        attempt.outcome = outcome
+        finished = outcome is Outcome.OK and not request.is_answered
+        request.is_answered = request.is_answered or finished
+        latency_us = self.now - attempt.sent_at_us
+        self.event(
+            AttemptEnded(request_id, number, attempt.endpoint.id, outcome, latency_us, finished, (3.0,))
+        )
+
+    @rule(
+        count=st.integers(1, 12),
+        class_index=st.integers(0, 2),
+        timeout_us=st.sampled_from([0, 1, 30 * MS, SECOND]),
+    )
+    def arrive(self, count: int, class_index: int, timeout_us: int) -> None:
+        for _ in range(count):
+            self.request_count += 1
+            class_index %= len(self.balancer_settings.classes)
+            self.checker.requests[self.request_count] = ArrivedRequest(
+                self.balancer_settings.classes[class_index], self.now + timeout_us
+            )
             self.checker.arrivals.append(self.now)
-            self.event(RequestArrived(self.count, cls, patience, cost_us=10 * MS))
+            self.event(RequestArrived(self.request_count, class_index, timeout_us, cost_us=10 * MS))
 
-    @precondition(lambda self: self.out())
-    @rule(data=st.data(), many=st.integers(1, 8), outcome=st.sampled_from(Outcome))
-    def some_end(self, data: st.DataObject, many: int, outcome: Outcome) -> None:
-        for _ in range(many):
-            if not (out := self.out()):
+    @precondition(lambda self: self.attempts_in_flight())
+    @rule(data=st.data(), count=st.integers(1, 8), outcome=st.sampled_from(Outcome))
+    def some_end(self, data: st.DataObject, count: int, outcome: Outcome) -> None:
+        for _ in range(count):
+            if not (in_flight := self.attempts_in_flight()):
                 return
-            request, attempt, x = data.draw(st.sampled_from(out))
-            if outcome is Outcome.CANCELLED and not x.cancelled:
+            request_id, number, attempt = data.draw(st.sampled_from(in_flight))
+            if outcome is Outcome.CANCELLED and not attempt.is_cancelled:
                 outcome = Outcome.RESET
-            self.end(request, attempt, outcome)
+            self.end_attempt(request_id, number, outcome)
 
-    @precondition(lambda self: self.out())
+    @precondition(lambda self: self.attempts_in_flight())
     @rule(data=st.data())
     def stream(self, data: st.DataObject) -> None:
-        request, attempt, _ = data.draw(st.sampled_from(self.out()))
-        if not self.checker.requests[request].answered:
-            self.checker.requests[request].answered = True
-            self.event(ResponseStarted(request, attempt))
+        request_id, number, _ = data.draw(st.sampled_from(self.attempts_in_flight()))
+        if not self.checker.requests[request_id].is_answered:
+            self.checker.requests[request_id].is_answered = True
+            self.event(ResponseStarted(request_id, number))
 
     @precondition(lambda self: self.checker.requests)
     @rule(data=st.data())
     def client_leaves(self, data: st.DataObject) -> None:
-        request = data.draw(st.sampled_from(sorted(self.checker.requests)))
-        self.checker.requests[request].answered = True
-        self.event(ClientDisconnected(request))
-
-    @rule(data=st.data(), status=st.sampled_from(EndpointStatus), fresh=st.booleans(), whole=st.booleans())
-    def list_changes(self, data: st.DataObject, status: EndpointStatus, fresh: bool, whole: bool) -> None:
-        server = data.draw(st.sampled_from([0, 1, 2, 6, 31]))
-        b = Endpoint(server, status, server % 2, server % 3, started_at_us=self.now - 5 * MS if fresh else 0)
-        kept = [replace(x) for x in self.checker.listed.values() if x.id not in (server, 3)]
-        self.lists(ListUpdateKind.FULL if whole else ListUpdateKind.DELTA, [*kept, b] if whole else [b])
-
-    @precondition(lambda self: self.probes)
+        request_id = data.draw(st.sampled_from(sorted(self.checker.requests)))
+        self.checker.requests[request_id].is_answered = True
+        self.event(ClientDisconnected(request_id))
+
+    @rule(
+        data=st.data(),
+        status=st.sampled_from(EndpointStatus),
+        has_started=st.booleans(),
+        is_complete=st.booleans(),
+    )
+    def list_changes(
+        self, data: st.DataObject, status: EndpointStatus, has_started: bool, is_complete: bool
+    ) -> None:
+        endpoint_id = data.draw(st.sampled_from([0, 1, 2, 6, 31]))
+        changed = Endpoint(
+            endpoint_id,
+            status,
+            endpoint_id % 2,
+            endpoint_id % 3,
+            started_at_us=self.now - 5 * MS if has_started else 0,
+        )
+        kept = [replace(e) for e in self.checker.endpoints.values() if e.id not in (endpoint_id, 3)]
+        self.update_list(
+            ListUpdateKind.FULL if is_complete else ListUpdateKind.DELTA,
+            [*kept, changed] if is_complete else [changed],
+        )
+
+    @precondition(lambda self: self.probed_ids)
     @rule(
         outcome=st.sampled_from([Outcome.OK, Outcome.OK, Outcome.TIMEOUT, Outcome.CONNECT_FAILED]),
-        many=st.integers(1, 6),
-        held=st.sampled_from([0.0, 1.0, 40.0]),
+        count=st.integers(1, 6),
+        load=st.sampled_from([0.0, 1.0, 40.0]),
     )
-    def echo(self, outcome: Outcome, many: int, held: float) -> None:
-        for _ in range(min(many, len(self.probes))):
-            report = (held,) if outcome is Outcome.OK else ()
-            self.event(ProbeEnded(self.probes.pop(0), outcome, 0, report))
+    def echo(self, outcome: Outcome, count: int, load: float) -> None:
+        for _ in range(min(count, len(self.probed_ids))):
+            report = (load,) if outcome is Outcome.OK else ()
+            self.event(ProbeEnded(self.probed_ids.pop(0), outcome, 0, report))
 
-    @precondition(lambda self: self.calls)
+    @precondition(lambda self: self.list_calls)
     @rule(fails=st.booleans())
     def call_answered(self, fails: bool) -> None:
-        self.calls -= 1
-        self.lists(ListUpdateKind.FAILED if fails else ListUpdateKind.DELTA, [])
+        self.list_calls -= 1
+        self.update_list(ListUpdateKind.FAILED if fails else ListUpdateKind.DELTA, [])
 
     @rule(us=st.sampled_from([1, MS, 10 * MS, 100 * MS, 700 * MS, 5 * SECOND]))
     def time_passes(self, us: int) -> None:
-        until = self.now + max(self.tick, us // self.tick * self.tick)
+        until = self.now + max(self.tick_us, us // self.tick_us * self.tick_us)
         while True:
+            # Timers are listed by their token and the number -1, timeouts by request id and attempt number.
             due = [(t, token, -1) for t, token in self.timers] + [
-                (x.ends_by, request, i) for request, i, x in self.out()
+                (attempt.timeout_at_us, request_id, number)
+                for request_id, number, attempt in self.attempts_in_flight()
             ]
             if not due or min(due)[0] > until:
                 break
-            at, what, attempt = min(due)
-            after = (at // self.tick + 1) * self.tick if self.told.tick_us else at  # the round after it
-            self.now = max(self.now, after)
-            self.checker.passed(self.now)
-            if attempt < 0:
-                self.timers.remove((at, what))
-                self.event(TimerFired(what))
+            at, token_or_request_id, attempt_number = min(due)
+            # With ticks, an event is delivered in the tick after the one in which it is due.
+            delivered_at = (at // self.tick_us + 1) * self.tick_us if self.balancer_settings.tick_us else at
+            self.now = max(self.now, delivered_at)
+            self.checker.check_deadlines(self.now)
+            if attempt_number < 0:
+                self.timers.remove((at, token_or_request_id))
+                self.event(TimerFired(token_or_request_id))
             else:
-                self.end(what, attempt, Outcome.TIMEOUT)
+                self.end_attempt(token_or_request_id, attempt_number, Outcome.TIMEOUT)
         self.now = max(self.now, until)
-        self.checker.passed(self.now)
+        self.checker.check_deadlines(self.now)
 
 
 LIMITS = settings(
@@ -329,19 +380,19 @@
 )
 
 
-def test_the_rules_hold_in_any_order() -> None:
-    run_state_machine_as_test(Orders, settings=LIMITS)
+def test_the_rules_hold_in_any_order_of_events() -> None:
+    run_state_machine_as_test(HostileCaller, settings=LIMITS)
 
 
-class Silent(Balancer):
-    """Breaks rule 1: forgets to answer what it would refuse."""
+class NeverRejecting(Balancer):
+    """A balancer that breaks rule 1: it gives no final answer where it should reject a request."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
         return [a for a in super().handle(now, event) if not isinstance(a, RejectRequest)]
 
 
-class Trusting(Balancer):
-    """Breaks rule 2: takes an error for proof that nothing ran."""
+class RetryingAfterErrors(Balancer):
+    """A balancer that breaks rule 2: it takes an error as proof that the request never ran."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded) and event.outcome is Outcome.ERROR:
@@ -349,36 +400,42 @@
         return super().handle(now, event)
 
 
-class Deaf(Balancer):
-    """Breaks rule 3: does not hear of drains."""
+class IgnoringDrains(Balancer):
+    """A balancer that breaks rule 3: it ignores all endpoints in a list update that are not ready."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
         if isinstance(event, EndpointsChanged):
-            event = replace(event, endpoints=[b for b in event.endpoints if b.status is EndpointStatus.READY])
+            event = replace(event, endpoints=[e for e in event.endpoints if e.status is EndpointStatus.READY])
         return super().handle(now, event)
 
 
-class Eager(Balancer):
-    """Breaks rule 4: takes every server for warm, one for the only one, and none for crowded."""
+class IgnoringWarmUp(Balancer):
+    """A balancer that breaks rule 4: restarted endpoints count as warm, the only ones, and never full."""
 
     def _hopeful(self, *_: Any) -> bool:
         return True
 
     def handle(self, now: int, event: Event) -> list[Action]:
         if isinstance(event, EndpointsChanged):
-            fresh = [b for b in event.endpoints if b.started_at_us]
+            restarted = [e for e in event.endpoints if e.started_at_us]
             event = replace(
                 event,
-                endpoints=[replace(b, started_at_us=0) for b in fresh or event.endpoints],
-                kind=ListUpdateKind.FULL if fresh else event.kind,
+                endpoints=[replace(e, started_at_us=0) for e in restarted or event.endpoints],
+                kind=ListUpdateKind.FULL if restarted else event.kind,
             )
         return super().handle(now, event)
 
 
 @pytest.mark.parametrize(
-    ("faulty", "said"), [(Silent, "rule 1"), (Trusting, "rule 2"), (Deaf, "rule 3"), (Eager, "rule 4")]
+    ("faulty_balancer", "message"),
+    [
+        (NeverRejecting, "rule 1"),
+        (RetryingAfterErrors, "rule 2"),
+        (IgnoringDrains, "rule 3"),
+        (IgnoringWarmUp, "rule 4"),
+    ],
 )
-def test_the_checker_sees_each_rule_broken(faulty: type[Balancer], said: str) -> None:
-    machine = type("Faulty", (Orders,), {"make": staticmethod(faulty)})
-    with pytest.raises(AssertionError, match=said):
+def test_the_checker_notices_each_broken_rule(faulty_balancer: type[Balancer], message: str) -> None:
+    machine = type("Faulty", (HostileCaller,), {"make": staticmethod(faulty_balancer)})
+    with pytest.raises(AssertionError, match=message):
         run_state_machine_as_test(machine, settings=settings(LIMITS, max_examples=400))
