--- a/nickelmount/balancer/admission.py
+++ b/nickelmount/balancer/admission.py
@@ -13,8 +13,9 @@
 from .traffic import TRAFFIC_WINDOW_US, RecentArrivals
 from .units import SECOND_US
 
-# An endpoint that holds this many requests gets no more, except by exploration. An endpoint is one core, and
-# becomes slow when it is crowded, however early its answers were predicted.
+# An endpoint whose estimated load is this many requests gets no more, except by exploration. An endpoint is
+# one core, and becomes slow when it is crowded, even if its predicted answer time is short. An endpoint
+# whose load is known is judged by its predicted answer time instead.
 MAX_IN_FLIGHT_PER_ENDPOINT = 4.0
 # Attempts of all balancers together that may explore one endpoint, whatever answer time is predicted.
 MAX_EXPLORING_PER_ENDPOINT = 3.0
@@ -24,7 +25,7 @@
 PREDICTED_TIME_SHARE = 0.45
 # The same share for a client's retry and for a request beyond its tenant's quota.
 LOW_PRIORITY_TIME_SHARE = 0.2
-# A class of which nothing was sent for longer than this is preferred, whatever its weight.
+# A class is preferred, whatever its weight, if no attempt of it was sent for longer than this.
 MAX_CLASS_PAUSE_US = SECOND_US
 # Requests of all balancers together that may wait for each ready endpoint.
 MAX_WAITING_PER_ENDPOINT = 2.0
@@ -52,15 +53,16 @@
         self._table, self._subset, self._arrivals = table, subset, arrivals
         self._max_known_load_age_us, self._has_limit = max_known_load_age_us, has_concurrency_limit
         self._instance_count = settings.instance_count
-        # Attempts and waits end two ticks before the client's timeout, because the final answer is given in
-        # the tick after. Half of the slack in which a late answer still counts shortens this margin.
+        # Attempts and waits end this long before the time that limits them, which is the client's timeout or
+        # the objective. The margin is two ticks, because the final answer is given in the tick after, less
+        # half of the slack in which a late answer still counts.
         self.answer_margin_us = max(0, 2 * settings.tick_us - settings.answer_slack_us // 2)
         # This balancer's part of the exploring attempts at each endpoint.
         self._exploration_limit = MAX_EXPLORING_PER_ENDPOINT / settings.instance_count
         self._shortest_objective_us = min(c.latency_objective_us for c in settings.classes)
         self._highest_weight = max(c.priority_weight for c in settings.classes)
         # A class with a long objective must not crowd endpoints so much that a class of the same or a higher
-        # weight misses its objective. So for each class this is the shortest objective among those classes.
+        # weight misses its objective. So the limit is the shortest objective of all those classes.
         self._latency_limits_us = {
             c.name: min(
                 other.latency_objective_us
@@ -76,9 +78,12 @@
         self._last_sent_at_us[request.request_class.name] = now_us
 
     def time_left_us(self, request: Request, now_us: int) -> int:
-        """Return the time for which an answer still earns weight and can be given."""
+        """Return how long a request may still wait or be sent, so that its answer earns weight.
+
+        The result is 0 or negative if it is too late.
+        """
         has_late_weight = request.request_class.late_weight
-        until_us = request.deadline_us if has_late_weight else request.objective_at_us
+        until_us = request.deadline_at_us if has_late_weight else request.objective_at_us
         return until_us - now_us - self.answer_margin_us
 
     # The concurrency limit
@@ -97,14 +102,16 @@
         The limit is the largest of
 
         - an even share of the capacity of all endpoints;
-        - the number of requests that arrive within the allowed answer time. It is reduced when capacity is
-          lost, because the traffic stays the same, and when the mean load is above what endpoints bear,
-          because in a burst all balancers send more at once;
+        - the number of requests that arrive within the allowed answer time. It is reduced in proportion to
+          the capacity that was lost, because the traffic does not fall with the capacity. It is also reduced
+          if one more request at the mean load exceeds MAX_IN_FLIGHT_PER_ENDPOINT, because in a burst all
+          balancers send more at once;
         - the load that one endpoint can take beyond the mean load, so that a burst may use it.
 
         The first two are higher for a preferred class. The classes of the highest weight are preferred, and
-        so is a class of which nothing was sent for long: otherwise the classes of the highest weight would
-        keep the attempts in flight above the limit of the others, and take every slot that becomes free.
+        so is a class without an attempt in the last MAX_CLASS_PAUSE_US: otherwise the classes of the highest
+        weight would keep the attempts in flight above the limit of the others, and take every slot that
+        becomes free.
         """
         if not self._has_limit:
             return float("inf")
@@ -129,9 +136,11 @@
         return now_us - self._last_sent_at_us.get(request_class.name, 0) > MAX_CLASS_PAUSE_US
 
     def can_wait(self, request: Request, waiting_count: int, ready_count: int, now_us: int) -> bool:
-        """Return whether a request may wait, since a slot that becomes free soon can still serve it in time.
+        """Return whether a request may wait for a free slot instead of being shed.
 
-        The client's retry of a shed request would come too late.
+        It may wait if the typical latency is known, its objective is far enough away, few other requests
+        wait, and it has neither a low priority nor a cost above the mean. If it was shed instead, the
+        client's retry would come too late.
         """
         max_waiting = max(1.0, MAX_WAITING_PER_ENDPOINT * ready_count / self._instance_count)
         typical_us = self._table.typical_latency_us
@@ -170,9 +179,9 @@
         """
         table = self._table
         cost, service_time_us = request.relative_cost, endpoint.service_time_us
-        # A heavy request that not even an idle endpoint can answer in time is not sent, because it would take
-        # capacity from many others. While most endpoints are idle it takes little, and it may be sent
-        # because cost hints are rough.
+        # A heavy request is not sent to an endpoint that could not answer it in time even when idle, because
+        # it would take capacity from many others. While most endpoints are idle it takes little from others,
+        # so the mean load scales its predicted time down: it may be sent, because cost hints are rough.
         is_feasible = (
             cost <= 1.0 or cost * service_time_us * min(1.0, table.mean_load) <= time_to_objective_us
         )
@@ -192,24 +201,29 @@
         predicted_us = (own_in_flight + other_in_flight + cost) * service_time_us
         if predicted_us <= time_limit_us:
             return True
-        # While this balancer has few attempts at the endpoint, the answer may take until the objective.
+        # While this balancer has few attempts at the endpoint, the predicted time may reach the objective.
         return own_in_flight < self._exploration_limit and predicted_us <= time_to_objective_us
 
     def _late_allowance_us(self, request: Request) -> float:
-        """Return extra time if late answers still earn weight, so that the request is not shed too early."""
+        """Return how far a predicted time may exceed its limit because a late answer still earns weight.
+
+        Without this allowance the request would be shed too early.
+        """
         if request.is_low_priority:
             return 0.0
-        late_us = request.deadline_us - request.objective_at_us
+        late_us = request.deadline_at_us - request.objective_at_us
         return PREDICTED_TIME_SHARE * (request.request_class.late_weight * late_us)
 
     def _can_explore(self, request: Request, endpoint: TrackedEndpoint, own_in_flight: float) -> bool:
-        """Return whether an endpoint with almost no own attempts may be tried, whatever time is predicted.
+        """Return whether a request may be sent to an endpoint whatever answer time is predicted.
 
-        A balancer with little traffic knows too little to shed requests because of an estimate. Exploration
-        is shared out among all balancers, because otherwise it would sustain an overload: if a balancer's
+        This needs an endpoint with almost no attempts of this balancer in flight. A balancer with little
+        traffic knows too little to shed requests because of an estimate. Exploration is shared out among all
+        balancers that sample the endpoint, because otherwise it would sustain an overload: if this balancer's
         share is less than one attempt, only that fraction of its requests may explore. Failed attempts count
         as in flight for a while, because otherwise a full endpoint that rejects at once would be tried
-        forever. Any request may explore a warming endpoint, because slow start limits what it is sent.
+        forever. Any request may explore a warming endpoint, because slow start limits how many requests the
+        endpoint gets.
         """
         if own_in_flight >= min(1.0, self._exploration_limit):
             return False
--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -69,9 +69,9 @@
 from .traffic import RecentArrivals
 from .units import MILLISECOND_US
 
-# Delay after which a request is tried again if no endpoint accepts it.
+# Delay after which endpoints are chosen again for a request that no endpoint accepts.
 NO_ENDPOINT_RECHECK_US = 20 * MILLISECOND_US
-# Delay after which a request is tried again if all endpoints are busy, in typical latencies.
+# The same delay for a request that waits for a free slot, in typical latencies.
 BUSY_RECHECK_LATENCIES = 0.15
 # Delay after which a rejected client is advised to try again, in typical latencies.
 RETRY_AFTER_LATENCIES = 2
@@ -89,7 +89,7 @@
         self.now_us = 0
         # By id, the requests that have no final answer yet or have attempts in flight.
         self.requests: dict[int, Request] = {}
-        self.waiting: set[int] = set()  # Ids of the requests that wait for a busy endpoint.
+        self.waiting: set[int] = set()  # Ids of the requests that wait for a free slot.
         self.in_flight_count = 0  # Number of attempts in flight, over all requests.
         self._actions: list[Action] = []
         rng = self._rng = Random(seed)
@@ -207,8 +207,8 @@
         self.retry_budget.record_arrival()
         if not event.is_retry:
             self.arrivals.record_arrival(now_us)
-        # A client's retry has low priority because part of its time is used up: it would probably be late
-        # even if it was served first.
+        # A client's retry has low priority because part of the client's time is used up: it would probably
+        # be late even if it was served first.
         request.is_low_priority = self.quotas.is_exceeded(event.tenant, now_us) or event.is_retry
         self._advance(request)
 
@@ -216,12 +216,12 @@
         """Send a request, let it wait, or give its final answer.
 
         1. If no time or no attempt is left, the request gets its final answer.
-        2. If the concurrency limit is reached, the request waits if a slot that becomes free soon can still
-           serve it in time, and otherwise gets its final answer.
-        3. Two samples are drawn among the eligible endpoints. If there are none, but one of the first
-           MAX_ENDPOINTS_CHECKED allowed endpoints accepts the request, all are busy, and step 2 applies. If
-           none accepts it, a request that was not sent yet is tried again until shortly before its objective;
-           any other gets its final answer.
+        2. If the concurrency limit is reached, the request waits for a free slot if admission allows it, and
+           otherwise gets its final answer.
+        3. Two samples are drawn among the eligible endpoints. If none is found, but one of the first
+           MAX_ENDPOINTS_CHECKED allowed endpoints is accepted, all count as busy, and the request waits or
+           gets its final answer as in step 2. If none of them is accepted, a request that was not sent yet
+           repeats these steps until shortly before its objective; any other gets its final answer.
         4. The samples are probed if that is cheap, and compared. The less loaded one gets the attempt.
         """
         now_us = self.now_us
@@ -247,7 +247,7 @@
         return self._finish(request)
 
     def _wait_or_finish(self, request: Request) -> None:
-        """Let a request wait for a busy endpoint if admission allows it; otherwise give its final answer."""
+        """Let a request wait for a free slot if admission allows it; otherwise give its final answer."""
         ready_count = len(self.endpoints.ready)
         if not self.admission.can_wait(request, len(self.waiting), ready_count, self.now_us):
             return self._finish(request)
@@ -280,7 +280,11 @@
             self._compare(request)
 
     def _on_probe_ended(self, event: ProbeEnded) -> None:
-        """Record the load and nothing else, because a process that answers probes may still fail requests."""
+        """Record the reported load, and compare the samples of the requests that need no further probe.
+
+        The outcome is not recorded as a success, because a process that answers probes may still fail
+        requests.
+        """
         endpoint = self.endpoints.by_id.get(event.endpoint_id)
         if endpoint is None:
             return
@@ -292,10 +296,11 @@
             self._compare(request)
 
     def _compare(self, request: Request) -> None:
-        """Send the request to the less loaded of its samples, or draw again if neither can answer in time.
+        """Send the request to the less loaded of its samples, or draw again if neither is eligible any more.
 
-        A sample that answered its probe is preferred to one that did not. If neither did, the load table
-        decides. After max_probed_pairs the request is not drawn again, but waits or gets its final answer.
+        If one sample has not answered its probe, only the other one can get the attempt. If neither has, the
+        load table decides. After request.max_probed_pairs pairs no others are drawn, and the request waits or
+        gets its final answer.
         """
         assert request.candidates is not None
         pair = request.candidates
@@ -332,14 +337,14 @@
         request.attempted_endpoints.append(endpoint)
         endpoint.in_flight[(request.id, number)] = now_us
         self.in_flight_count += 1
-        timeout_us = max(1, request.deadline_us - now_us - self.admission.answer_margin_us)
+        timeout_us = max(1, request.deadline_at_us - now_us - self.admission.answer_margin_us)
         self._emit(SendAttempt(request.id, endpoint.id, timeout_us, number, write_within_us))
         hedge_at_us = self.hedging.hedge_at_us(request, self.table, now_us)
         if hedge_at_us is not None:
             self._schedule(hedge_at_us, self._hedge, (request, number))
 
     def _hedge(self, argument: tuple[Request, int]) -> None:
-        """Send a second attempt if the first is unusually slow and another endpoint can take it."""
+        """Hedge an attempt that is still the only one in flight, if another endpoint can take the request."""
         request, number = argument
         if not self.hedging.is_only_attempt(request, number) or self.retry_budget.is_exhausted:
             return
@@ -379,8 +384,8 @@
     def _retry(self, request: Request, outcome: Outcome) -> None:
         """Continue a request whose last attempt in flight has ended without an answer.
 
-        A retry after CONNECT_FAILED is not charged to the retry budget, because no endpoint has begun to work
-        on the request.
+        A retry after CONNECT_FAILED is not charged to the retry budget, because the attempt caused no work at
+        its endpoint.
         """
         if outcome is not Outcome.CONNECT_FAILED:
             if self.retry_budget.is_exhausted:
--- a/nickelmount/balancer/hedging.py
+++ b/nickelmount/balancer/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: when a request is sent a second time while its first attempt is in flight."""
+"""Hedging: when a request is sent to another endpoint while an attempt is still in flight."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from .request import Request
 from .settings import Idempotency, Settings
 
-HEDGE_AFTER_LATENCIES = 3  # An attempt is unusually slow after this many typical latencies.
+HEDGE_AFTER_LATENCIES = 3  # An attempt is hedged after this many typical latencies.
 
 
 class HedgingPolicy:
-    """The rule that hedges a request which may run twice if its attempt is unusually slow."""
+    """The rule that hedges an unusually slow attempt, provided that its request may run twice."""
 
     def __init__(self, settings: Settings) -> None:
         self._is_allowed = settings.can_hedge
@@ -18,7 +18,8 @@
     def hedge_at_us(self, request: Request, table: LoadTable, now_us: int) -> int | None:
         """Return the time at which to hedge an attempt that is sent now, or None if it is not to be hedged.
 
-        It is not hedged if the answer to a second attempt of typical latency would miss the objective.
+        It is not hedged if hedging is off, if the request must not run twice, while the typical latency is
+        unknown, or if the answer to a hedge of typical latency would miss the objective.
         """
         typical_us = table.typical_latency_us
         if not self._is_allowed or not typical_us:
--- a/nickelmount/balancer/quantile.py
+++ b/nickelmount/balancer/quantile.py
@@ -15,7 +15,7 @@
 
 @lru_cache(maxsize=4096)
 def cutoff_ranks(count: int, queries: int = QUANTILE_QUERIES) -> tuple[int, ...]:
-    """Return the ranks of the cutoffs of Quantile(d1 .. dk) among `count` endpoints; 1 is the most loaded."""
+    """Return the cutoff ranks of Quantile(d1 .. dk) among `count` endpoints. Rank 1 is the most loaded."""
     deltas = [2 ** (-0.5 * log2(count) ** ((queries - i) / queries)) for i in range(1, queries)]
     ranks = {ceil(delta * count - 1e-9) for delta in deltas if delta < 0.5} | {ceil(count / 2)}
     return tuple(sorted(ranks))
--- a/nickelmount/balancer/quota.py
+++ b/nickelmount/balancer/quota.py
@@ -13,12 +13,15 @@
 
 
 class TenantQuotas:
-    """A token bucket for each tenant, which holds the quota of one second, but at least one request."""
+    """A token bucket for each tenant; each request takes one token.
+
+    A bucket holds this balancer's part of the quota of one second, but at least one token.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self._quotas_per_us = [tenant.quota_per_s / SECOND_US for tenant in settings.tenants]
         self._traffic_share = 1.0 / settings.instance_count
-        # The tokens of each tenant, and the time in us as of which they were counted; 0 if never.
+        # The tokens of each tenant, and the time in us at which they were last counted; 0 if never.
         self._buckets = [(1.0, 0)] * len(self._quotas_per_us)
 
     def update_traffic_share(self, own_in_flight: int, other_in_flight: float) -> None:
--- a/nickelmount/balancer/request.py
+++ b/nickelmount/balancer/request.py
@@ -57,7 +57,7 @@
         "attempted_endpoints",
         "attempts_sent",
         "candidates",
-        "deadline_us",
+        "deadline_at_us",
         "draws",
         "id",
         "in_flight",
@@ -85,8 +85,8 @@
         objective_us += int(request_class.objective_stretch * event.cost_us)
         self.id = event.request_id
         self.request_class = request_class
-        self.deadline_us = now_us + event.timeout_us
-        self.objective_at_us = min(now_us + objective_us, self.deadline_us)
+        self.deadline_at_us = now_us + event.timeout_us
+        self.objective_at_us = min(now_us + objective_us, self.deadline_at_us)
         self.draws = draws
         self.relative_cost = relative_cost  # The work it takes, as a multiple of the mean.
         self.is_low_priority = False  # True for a client's retry or a request beyond its tenant's quota.
--- a/nickelmount/balancer/retry.py
+++ b/nickelmount/balancer/retry.py
@@ -4,11 +4,13 @@
 
 1. to any endpoint, if its class is always idempotent;
 2. to the endpoints in the dedup scope of its first attempt that may have run, if its class is idempotent with
-   a key, but only while these endpoints surely remember the key, which is the dedup window less two ticks;
+   a key, but only until two ticks before the end of the dedup window: until then these endpoints surely
+   remember the key;
 3. never, if its class is not idempotent.
 
-A request that surely never ran may be sent to any endpoint. In addition a retry budget limits the work that
-retries may add, because overloaded endpoints reject at once and unlimited retries would multiply the load.
+A request that surely never ran may be sent again to any endpoint. In addition a retry budget limits the work
+that retries may add, because overloaded endpoints reject at once and unlimited retries would multiply the
+load.
 """
 
 from __future__ import annotations
@@ -82,7 +84,10 @@
         return endpoint.cell == first.cell
 
     def dedup_window_left_us(self, request: Request, now_us: int) -> int:
-        """Return how long endpoints still drop duplicates of the first attempt that may have run."""
+        """Return how long endpoints surely still drop duplicates of the first attempt that may have run.
+
+        The result is 0 or negative after that time.
+        """
         window_end_us = request.may_have_run[0].sent_at_us + request.request_class.dedup_window_us
         return window_end_us - self._window_margin_us - now_us
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -197,7 +197,7 @@
 
 
 def test_a_balancer_with_nothing_in_flight_does_not_reject_because_of_the_load_of_others() -> None:
-    # Issue i3db866: because of the reported load of others, balancers with nothing in flight rejected
+    # Incident i3db866: because of the reported load of others, balancers with nothing in flight rejected
     # requests that the fleet could serve.
     driver = BalancerDriver(endpoint_count=4, load_report_fields=("inflight",))
     for _ in range(40):
@@ -210,8 +210,9 @@
 
 
 def test_requests_are_shed_well_before_the_objective_is_missed() -> None:
-    # Issues ibcb29b and i934097: endpoints were filled until the mean answer came just within the objective.
-    # Because latencies vary, a third of the answers was late, and crowding slowed the endpoints down as well.
+    # Incidents ibcb29b and i934097: endpoints were filled until the mean answer came just within the
+    # objective. Because latencies vary, a third of the answers was late, and crowding slowed the endpoints
+    # down as well.
     driver = BalancerDriver(endpoint_count=1, instance_count=14)
     driver.serve(30, 90 * MS)  # One request takes 90 ms; the objective is 500 ms.
     sent = [bool(of_type(driver.request()[1], SendAttempt)) for _ in range(4)]
@@ -239,7 +240,7 @@
 
 
 def test_a_class_with_a_long_objective_does_not_crowd_out_one_of_the_same_weight() -> None:
-    # Issue i934097: payments with an objective of 800 ms filled the endpoints so much that receipts missed
+    # Incident i934097: payments with an objective of 800 ms filled the endpoints so much that receipts missed
     # their objective of 300 ms.
     urgent, patient = RequestClass("urgent", 300 * MS, SECOND), RequestClass("patient", 800 * MS, SECOND)
     cheap = RequestClass("cheap", 100 * MS, SECOND, priority_weight=0.5)
@@ -250,7 +251,7 @@
 
 
 def test_exploration_is_shared_among_the_balancers() -> None:
-    # Issue i00db6e: fourteen balancers that could each keep two attempts at every endpoint sustained an
+    # Incident i00db6e: fourteen balancers that could each keep two attempts at every endpoint sustained an
     # overload for 25 s. So did two balancers with four attempts each: an endpoint is one core, and becomes
     # slow when more than a few requests wait for it.
     sent = {}
@@ -267,7 +268,7 @@
 
 
 def test_a_clients_retry_has_low_priority() -> None:
-    # Issue i3ca9e6: retries had used up half of the time to their objective, were served before first
+    # Incident i3ca9e6: retries had used up half of the time to their objective, were served before first
     # attempts, and were answered late.
     driver = BalancerDriver(endpoint_count=1, instance_count=14)
     driver.serve(30, 90 * MS)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -76,7 +76,7 @@
 
 
 def test_full_endpoints_do_not_cause_a_retry_storm() -> None:
-    # Issue i00db6e: when all endpoints were full, retries were not limited, and each request made twenty
+    # Incident i00db6e: when all endpoints were full, retries were not limited, and each request made twenty
     # attempts.
     driver = BalancerDriver(endpoint_count=8)
     request_count, send_count = 200, 0
--- a/tests/test_sampling.py
+++ b/tests/test_sampling.py
@@ -11,7 +11,7 @@
 
 
 def test_a_selection_costs_the_same_in_a_large_fleet() -> None:
-    # Issue i39cc3d: with 60 endpoints and 950 requests per second, checking all endpoints for each request
+    # Incident i39cc3d: with 60 endpoints and 950 requests per second, checking all endpoints for each request
     # took more CPU time than allowed.
     driver = BalancerDriver(endpoint_count=320)
     driver.serve(400, MS)  # With this much traffic all endpoints are sampled.
