--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -280,7 +280,7 @@
             self._compare(request)
 
     def _on_probe_ended(self, event: ProbeEnded) -> None:
-        """Record the reported load, and compare the samples of the requests that need no further probe.
+        """Record the reported load, and compare the samples of the requests that need not wait any longer.
 
         The outcome is not recorded as a success, because a process that answers probes may still fail
         requests.
@@ -296,7 +296,7 @@
             self._compare(request)
 
     def _compare(self, request: Request) -> None:
-        """Send the request to the less loaded of its samples, or draw again if neither is eligible any more.
+        """Send the request to the less loaded of its samples, or draw again if neither can be used any more.
 
         If one sample has not answered its probe, only the other one can get the attempt. If neither has, the
         load table decides. After request.max_probed_pairs pairs no others are drawn, and the request waits or
--- a/nickelmount/balancer/outlier_detection.py
+++ b/nickelmount/balancer/outlier_detection.py
@@ -2,12 +2,15 @@
 
 An endpoint is ejected
 
-- after three failures in a row, or after two if the last one is a failed connect or its failure rate is high;
+- after three failures in a row, or after two if the last one is a failed connect or the endpoint's failure
+  rate is high;
 - after any further failure while it is being readmitted, except that a reset or a failed connect only counts
   as one more failure in a row;
-- for as long as it is unresponsive, which means that attempts are in flight and it has not answered for long.
+- for as long as it is unresponsive, which means that at least two attempts are in flight and that none has
+  succeeded for long.
 
-The first ejection lasts half a second, and each further one twice as long up to four seconds, with jitter.
+The first ejection lasts half a second, and each further one twice as long as the one before, up to four
+seconds. Jitter of up to a quarter is added or taken off.
 Then the endpoint is readmitted with one attempt in flight, one more after each success, and no limit after
 eight successes. If most endpoints look like outliers, they have a common cause, and all are still sampled,
 because the remaining endpoints would be overloaded.
@@ -27,8 +30,8 @@
 # It is ejected after this many if the last one is a failed connect or its failure rate is high.
 MAX_FAILURE_STREAK_IF_SUSPECT = 2
 HIGH_FAILURE_RATE = 0.3
-# An endpoint that has not answered for this many typical latencies is unresponsive, provided that at least
-# MIN_UNRESPONSIVE_ATTEMPTS attempts are in flight.
+# An endpoint is unresponsive if at least MIN_UNRESPONSIVE_ATTEMPTS attempts are in flight, and if more than
+# this many typical latencies have passed since the oldest was sent and since the last success.
 UNRESPONSIVE_LATENCIES = 5
 MIN_UNRESPONSIVE_ATTEMPTS = 2
 FIRST_EJECTION_US = 500 * MILLISECOND_US
--- a/nickelmount/balancer/sampling.py
+++ b/nickelmount/balancer/sampling.py
@@ -29,9 +29,9 @@
 
 MAX_DRAWS = 16  # Maximum number of draws to find two eligible samples.
 MAX_ENDPOINTS_CHECKED = 16  # Maximum number of endpoints that are checked one by one.
-# A refresh over n endpoints serves n / 4 selections, so that its cost is shared by them.
+# A refresh over n endpoints also serves the next n / 4 selections, so that its cost is shared by them.
 ENDPOINTS_PER_SELECTION = 4
-# With gossip, an endpoint is unresponsive if its silence lasts longer than this multiple of the usual one.
+# With gossip, an endpoint is silent if its last load report is older than this multiple of the usual age.
 MAX_SILENCE_FACTOR = 2
 
 
@@ -81,7 +81,7 @@
         return [e for e in self._subset.endpoints if self._rules.retry.allows(request, e, now_us)]
 
     def accepts(self, request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
-        """Return whether an endpoint is responsive, warm enough for this request, and not an outlier."""
+        """Return whether an endpoint is not silent, admits the request in slow start, and is no outlier."""
         rules, table = self._rules, self._table
         if rules.has_gossip and self._is_silent(request, endpoint, now_us):
             return False
@@ -90,10 +90,11 @@
         ) and rules.outliers.admits(endpoint, now_us, table.typical_latency_us)
 
     def _is_silent(self, request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
-        """Return whether gossip has not mentioned an endpoint for so long that it must be unresponsive.
+        """Return whether an endpoint's load was not reported for so long that it seems to answer no more.
 
-        The time is scaled by a draw of the request, so that some requests still try the endpoint, and by the
-        warm share, because a warming endpoint is mentioned less often.
+        The time since the last report is scaled by a draw of the request, so that some requests still try the
+        endpoint, and by the warm share, because a warming endpoint is reported less often. The usual time is
+        the median over the endpoints of the subset, but at least FRESH_REPORT_US.
         """
         silence_us: float = now_us - endpoint.last_report_at_us
         silence_us = (
@@ -105,8 +106,9 @@
     def draw_pair(self, request: Request, allowed: list[TrackedEndpoint], now_us: int) -> Pair | None:
         """Draw two uniform samples with replacement among the eligible endpoints not yet attempted.
 
-        If too few draws succeed, and there are few endpoints, each of them is checked; those that were
-        attempted are then included if no others are accepted. Return None if no eligible endpoint is found.
+        If too few draws succeed, and at most MAX_ENDPOINTS_CHECKED endpoints are allowed, each of them is
+        checked; those that were attempted are then included if no others are accepted. Both samples may be
+        the same endpoint. Return None if no eligible endpoint is found.
         """
         random, count = self._rng.random, len(allowed)
         admission = self._rules.admission
--- a/nickelmount/balancer/slow_start.py
+++ b/nickelmount/balancer/slow_start.py
@@ -1,8 +1,9 @@
 """Slow start: how many requests an endpoint gets while it is warming up.
 
-An endpoint that has just started has only a part of its capacity, and fails if it gets more. Each balancer
-admits only a share of its requests to such an endpoint, chosen at random for each request and endpoint, so
-that all balancers together send the endpoint its share, however the traffic is split between them.
+An endpoint that has just started has only a part of its capacity, and fails if it gets more requests than
+this part can serve. Each balancer sends only a share of its requests to such an endpoint. Random draws decide
+which requests these are, so that all balancers together send the endpoint its share, however the traffic is
+split between them.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 SHARE_SMOOTHING = 0.1  # Smoothing factor of the served and the eligible share.
 DRAW_RATE_WINDOW_US = SECOND_US  # Draws are counted over about this time, with exponential decay.
-# With this overload multiple or a higher one an endpoint gets the full share of its warm-up.
+# Below this overload multiple, the share of a warming endpoint is scaled down in proportion.
 FULL_SHARE_OVERLOAD_MULTIPLE = 4.0
 # Share of its least capacity that an endpoint without load reports may always be offered.
 UNREPORTED_LOAD_SHARE = 0.5
@@ -53,18 +54,20 @@
         self.instances_per_endpoint = float(settings.instance_count)
         self._served_share = 1.0  # Moving average of the share of requests that are served.
         self._eligible_share = 1.0  # Moving average of the share of draws that find an eligible endpoint.
-        # Draws of each endpoint by this balancer within DRAW_RATE_WINDOW_US, with exponential decay.
+        # Mean number of draws of one endpoint by this balancer within DRAW_RATE_WINDOW_US, with exponential
+        # decay.
         self._draws_per_endpoint = 0.0
         self._last_draw_at_us = 0
-        # Draws of each endpoint by this balancer per microsecond; repeated draws for one attempt count too.
+        # The same number per microsecond. Repeated draws for one attempt count too.
         self._draw_rate = 0.0
         self._even_share = 1.0  # An even share of the requests, per unit of warm share.
 
     def refresh(self, endpoints: list[TrackedEndpoint], now_us: int) -> None:
-        """Assign each endpoint an interval in the range of the requests' draws, one beside the other.
+        """Set where each endpoint's interval starts in the range of the requests' draws.
 
-        With independent draws, about a third of the requests would be admitted by no endpoint while the whole
-        fleet is warming up.
+        The starts are spaced so that intervals of an even share lie side by side. If a draw was made for each
+        endpoint instead, about a third of the requests would be admitted by no endpoint while the whole fleet
+        is warming up.
         """
         warm_shares = [self.ramp.warm_share(e, now_us) for e in endpoints]
         self._even_share = 1.0 / max(1.0, sum(warm_shares), len(endpoints) / 2)
@@ -78,9 +81,9 @@
         """Return whether the request with this draw may be sent to an endpoint.
 
         1. A warm endpoint admits any request.
-        2. If the rate that an endpoint can surely work off is a larger share of its draws than rule 3 gives
-           it, it admits that share, by a new draw each time. With rule 3 alone most endpoints would be idle
-           while many requests are rejected.
+        2. If the rate that an endpoint may be offered in any case (see _guaranteed_rate) is a larger share of
+           its draws than rule 3 gives it, it admits that share, by a new random number each time. With rule 3
+           alone most endpoints would be idle while many requests are rejected.
         3. Otherwise it admits the requests whose draw falls into its interval.
 
         `is_probed` says that the endpoint is asked for its load before a request is sent.
@@ -117,8 +120,9 @@
         """Return the rate that an endpoint of at least this service rate may be offered, per microsecond.
 
         For an endpoint that reports its load, this is the highest rate whose arrivals in an overload window
-        stay within the overload limit with a margin of three standard deviations. More than the service rate
-        is possible because real warm-ups are faster than the slowest one, and the load table shows the rest.
+        stay within the overload limit with a margin of three standard deviations. It may be more than the
+        service rate, because real warm-ups are faster than the slowest one, and because the load table shows
+        the load of an endpoint that cannot keep up.
         """
         if not self._has_load_reports:
             return UNREPORTED_LOAD_SHARE * service_rate
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -13,8 +13,8 @@
 
 @pytest.mark.parametrize("request_class", [IDEMPOTENT, class_with_key(DedupScope.ALL)])
 def test_one_attempt_at_a_time_if_hedging_is_not_allowed(request_class: RequestClass) -> None:
-    # A slow attempt is not cancelled to try another endpoint either. When cancelled attempts ran on at their
-    # endpoints, that made 1.2 attempts of each request, and cost more time than it saved.
+    # A slow attempt is not cancelled either in order to try another endpoint. Cancelled attempts ran on at
+    # their endpoints, so that each request made 1.2 attempts, which cost more time than was saved.
     driver = BalancerDriver(request_class, can_hedge=False)
     driver.serve(20)
     _, actions = driver.request()
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -124,10 +124,10 @@
         self.events: list[tuple[int, int, int, Event]] = []
         self.action_count = 0
         self.has_restarted = False
-        first_speed = [*range(RESTARTED // 2 * len(speeds))][:: len(speeds)]
+        first_speed_indices = [*range(RESTARTED // 2 * len(speeds))][:: len(speeds)]
         self.restarted: list[int] = []
         self.notify_all(BEGIN_US, ListUpdateKind.CACHED, self.entries)
-        self.restarted = first_speed + rng.sample(range(MACHINES), RESTARTED // 2)
+        self.restarted = first_speed_indices + rng.sample(range(MACHINES), RESTARTED // 2)
 
     def run(self) -> tuple[float, int]:
         """Run the simulation; return the restarted machines' peak window load and number of requests."""
@@ -299,8 +299,8 @@
 
 
 def test_warming_endpoints_get_their_share_from_the_few_balancers_that_sample_them() -> None:
-    # Each endpoint is sampled by a tenth of the balancers. When it was counted as sampled by all of them, it
-    # got less than its share.
+    # Each endpoint is sampled by a tenth of the balancers. When the rules took it to be sampled by all of
+    # them, it got less than its share.
     warming_ids, sent = {f"s{i}" for i in range(85)}, 0
     for seed in range(6):
         driver = BalancerDriver(
@@ -337,8 +337,8 @@
 
 
 def test_many_balancers_with_little_traffic_use_a_warming_endpoint() -> None:
-    # When a balancer among n earned 1/n of a credit per request and a send cost a whole one, no balancer with
-    # little traffic ever sent a request to a warming endpoint.
+    # When each of n balancers earned 1/n of a credit per request, and sending to a warming endpoint cost a
+    # whole credit, no balancer with little traffic ever sent a request to one.
     sent = 0
     for seed in range(400):
         driver = BalancerDriver(
