--- a/nickelmount/balancer/outlier_detection.py
+++ b/nickelmount/balancer/outlier_detection.py
@@ -6,8 +6,8 @@
   rate is high;
 - after any further failure while it is being readmitted, except that a reset or a failed connect only counts
   as one more failure in a row;
-- for as long as it is unresponsive, which means that at least two attempts are in flight and that none has
-  succeeded for long.
+- for as long as it is unresponsive, which means that at least two attempts are in flight and that no attempt
+  has succeeded for long.
 
 The first ejection lasts half a second, and each further one twice as long as the one before, up to four
 seconds. Jitter of up to a quarter is added or taken off.
@@ -85,8 +85,8 @@
     def _record_failure(self, endpoint: TrackedEndpoint, outcome: Outcome, now_us: int) -> None:
         endpoint.failure_rate += FAILURE_RATE_SMOOTHING * (1.0 - endpoint.failure_rate)
         endpoint.failure_streak += 1
-        # One broken connection says little about the process behind it. A process that has died refuses the
-        # next connection as well.
+        # One broken connection says little about the process at the endpoint. A process that has died refuses
+        # the next connection as well.
         is_connect_failure = outcome is Outcome.CONNECT_FAILED
         fails_readmission = (
             endpoint.trial_limit > 0 and not is_connect_failure and outcome is not Outcome.RESET
--- a/nickelmount/balancer/request.py
+++ b/nickelmount/balancer/request.py
@@ -88,9 +88,9 @@
         self.deadline_at_us = now_us + event.timeout_us
         self.objective_at_us = min(now_us + objective_us, self.deadline_at_us)
         self.draws = draws
-        self.relative_cost = relative_cost  # The work it takes, as a multiple of the mean.
+        self.relative_cost = relative_cost  # Its cost hint, as a multiple of the mean; 1 if it has none.
         self.is_low_priority = False  # True for a client's retry or a request beyond its tenant's quota.
-        self.is_done = False  # True when the final answer is given or none is needed any more.
+        self.is_done = False  # True when a final answer is given or has begun, or none is needed.
         self.attempts_sent = 0
         self.in_flight: dict[int, Attempt] = {}  # Attempts in flight, by number.
         # Attempts that are in flight or may have run, oldest first.
--- a/nickelmount/balancer/retry.py
+++ b/nickelmount/balancer/retry.py
@@ -26,7 +26,7 @@
 
 
 class RetryBudget:
-    """The number of retries and hedged requests that may still be sent.
+    """The number of retries and hedges that may still be sent.
 
     Retries after CONNECT_FAILED are not charged to it.
     """
@@ -40,11 +40,11 @@
         return self._available < 1.0
 
     def record_arrival(self) -> None:
-        """Add to the budget what one more request allows."""
+        """Add RETRY_BUDGET_PER_REQUEST to the budget for a request that has arrived."""
         self._available = min(MAX_RETRY_BUDGET, self._available + RETRY_BUDGET_PER_REQUEST)
 
     def spend(self) -> None:
-        """Charge one retry to the budget."""
+        """Charge one retry or hedge to the budget."""
         self._available -= 1.0
 
 
