--- a/nickelmount/balancer/retry.py
+++ b/nickelmount/balancer/retry.py
@@ -4,11 +4,13 @@
 
 1. to any endpoint, if its class is always idempotent;
 2. to the endpoints in the dedup scope of its first attempt that may have run, if its class is idempotent with
-   a key, but only while these endpoints surely remember the key, which is the dedup window less two ticks;
+   a key, but only until two ticks before the end of the dedup window: until then these endpoints surely
+   remember the key;
 3. never, if its class is not idempotent.
 
-A request that surely never ran may be sent to any endpoint. In addition a retry budget limits the work that
-retries may add, because overloaded endpoints reject at once and unlimited retries would multiply the load.
+A request that surely never ran may be sent again to any endpoint. In addition a retry budget limits the work
+that retries may add, because overloaded endpoints reject at once and unlimited retries would multiply the
+load.
 """
 
 from __future__ import annotations
@@ -24,7 +26,7 @@
 
 
 class RetryBudget:
-    """The number of retries and hedged requests that may still be sent.
+    """The number of retries and hedges that may still be sent.
 
     Retries after CONNECT_FAILED are not charged to it.
     """
@@ -38,11 +40,11 @@
         return self._available < 1.0
 
     def record_arrival(self) -> None:
-        """Add to the budget what one more request allows."""
+        """Add RETRY_BUDGET_PER_REQUEST to the budget for a request that has arrived."""
         self._available = min(MAX_RETRY_BUDGET, self._available + RETRY_BUDGET_PER_REQUEST)
 
     def spend(self) -> None:
-        """Charge one retry to the budget."""
+        """Charge one retry or hedge to the budget."""
         self._available -= 1.0
 
 
@@ -82,7 +84,10 @@
         return endpoint.cell == first.cell
 
     def dedup_window_left_us(self, request: Request, now_us: int) -> int:
-        """Return how long endpoints still drop duplicates of the first attempt that may have run."""
+        """Return how long endpoints surely still drop duplicates of the first attempt that may have run.
+
+        The result is 0 or negative after that time.
+        """
         window_end_us = request.may_have_run[0].sent_at_us + request.request_class.dedup_window_us
         return window_end_us - self._window_margin_us - now_us
 
