--- a/nickelmount/agent/discovery_client.py
+++ b/nickelmount/agent/discovery_client.py
@@ -2,10 +2,10 @@
 
 A watch is a sequence of calls, most of them long polls. A long poll asks for the changes after the revision
 that the client holds, and discovery delays its response until there is a change or until the wait that the
-call states is over. The other calls of a watch are answered immediately: they ask for the complete list if
-the client holds no revision, or for changes after a long poll that got no response and, at a shared
-discovery, after a failed watch. The balancer decides when a failed watch is started again and when a fetch
-is made.
+call states is over. The other calls of a watch are answered immediately. They ask for the complete list if
+the client holds no revision. They ask for changes if the last long poll got no response or, at a shared
+discovery, if the last watch failed. The balancer decides when a failed watch is started again and when a
+fetch is made.
 """
 
 from __future__ import annotations
@@ -119,8 +119,8 @@
             except Exception as error:
                 _log_failure(error)
                 # During an outage of a shared discovery, the next connection may deliver nothing either. With
-                # a long poll, that would be detected only after its wait, when the changes missed by then
-                # have long counted as notified. At a local discovery, a long poll is short enough to detect
+                # a long poll, that would be detected only when its wait is over, long after the changes that
+                # were missed count as notified. At a local discovery, a long poll is short enough to detect
                 # this in time.
                 self._next_poll_is_immediate = self._jitter_random is not None
         # The task is cleared before the report, because the balancer may start the next watch in response to
--- a/nickelmount/balancer/actions.py
+++ b/nickelmount/balancer/actions.py
@@ -23,8 +23,8 @@
     attempt: int = 0  # Number of the attempt within its request, as in AttemptEnded.
     # Time from now on within which the last byte of the attempt must be written; 0 if there is no limit. The
     # limit also applies to the earlier attempts of the request that are in flight. An attempt that misses it
-    # ends with outcome NOT_SENT. The reason is that a connection may come up long after the endpoint was
-    # chosen, when the dedup window, in which endpoints drop repeats, is over.
+    # ends with outcome NOT_SENT. The reason is that a connection may be established long after the endpoint
+    # was chosen, when the dedup window, in which endpoints drop repeats, is over.
     write_within_us: int = 0
 
 
--- a/nickelmount/balancer/admission.py
+++ b/nickelmount/balancer/admission.py
@@ -37,8 +37,8 @@
     """The rules that decide whether a request is admitted, waits, or is shed.
 
     `max_known_load_age_us` is the age up to which a reported load counts as known, not as an estimate; -1 if
-    none does. `has_concurrency_limit` is False if gossip reports every answer, because the load table then
-    shows more than a limit can.
+    none does. `has_concurrency_limit` is False if gossip is enabled, because the load table then shows the
+    load from all balancers, while a limit counts only the attempts of this one.
     """
 
     def __init__(
@@ -54,15 +54,16 @@
         self._max_known_load_age_us, self._has_limit = max_known_load_age_us, has_concurrency_limit
         self._instance_count = settings.instance_count
         # Attempts and waits end this long before the time that limits them, which is the client's timeout or
-        # the objective. The margin is two ticks, because the final answer is given in the tick after, less
-        # half of the slack in which a late answer still counts.
+        # the objective. The final answer is given in the tick after such an end, so the margin is two ticks;
+        # half of the slack in which a late answer still counts is subtracted from it.
         self.answer_margin_us = max(0, 2 * settings.tick_us - settings.answer_slack_us // 2)
         # This balancer's part of the exploring attempts at each endpoint.
         self._exploration_limit = MAX_EXPLORING_PER_ENDPOINT / settings.instance_count
         self._shortest_objective_us = min(c.latency_objective_us for c in settings.classes)
         self._highest_weight = max(c.priority_weight for c in settings.classes)
         # A class with a long objective must not crowd endpoints so much that a class of the same or a higher
-        # weight misses its objective. So the limit is the shortest objective of all those classes.
+        # weight misses its objective. So the limit on its answer time is the shortest objective of all those
+        # classes.
         self._latency_limits_us = {
             c.name: min(
                 other.latency_objective_us
@@ -78,7 +79,7 @@
         self._last_sent_at_us[request.request_class.name] = now_us
 
     def time_left_us(self, request: Request, now_us: int) -> int:
-        """Return how long a request may still wait or be sent, so that its answer earns weight.
+        """Return how long a request may wait or be sent before its answer is too late to earn weight.
 
         The result is 0 or negative if it is too late.
         """
@@ -104,7 +105,7 @@
         - an even share of the capacity of all endpoints;
         - the number of requests that arrive within the allowed answer time. It is reduced in proportion to
           the capacity that was lost, because the traffic does not fall with the capacity. It is also reduced
-          if one more request at the mean load exceeds MAX_IN_FLIGHT_PER_ENDPOINT, because in a burst all
+          if the mean load plus one request exceeds MAX_IN_FLIGHT_PER_ENDPOINT, because in a burst all
           balancers send more at once;
         - the load that one endpoint can take beyond the mean load, so that a burst may use it.
 
@@ -139,8 +140,8 @@
         """Return whether a request may wait for a free slot instead of being shed.
 
         It may wait if the typical latency is known, its objective is far enough away, few other requests
-        wait, and it has neither a low priority nor a cost above the mean. If it was shed instead, the
-        client's retry would come too late.
+        wait, and it has neither a low priority nor a cost above the mean. The reason for waiting is that,
+        after a rejection, the client's retry would come too late.
         """
         max_waiting = max(1.0, MAX_WAITING_PER_ENDPOINT * ready_count / self._instance_count)
         typical_us = self._table.typical_latency_us
@@ -157,7 +158,7 @@
     def predicted_time_limit_us(self, request: Request, now_us: int) -> float:
         """Return the longest predicted time to an answer at which an endpoint may still be sampled.
 
-        It is infinite until the first answer.
+        It is infinite before the first success.
         """
         if not self._table.mean_service_time_us:
             return float("inf")
@@ -180,8 +181,9 @@
         table = self._table
         cost, service_time_us = request.relative_cost, endpoint.service_time_us
         # A heavy request is not sent to an endpoint that could not answer it in time even when idle, because
-        # it would take capacity from many others. While most endpoints are idle it takes little from others,
-        # so the mean load scales its predicted time down: it may be sent, because cost hints are rough.
+        # it would take capacity from many other requests. While the mean load is below 1, it takes little
+        # from them, and its predicted time is multiplied by the mean load. It may then be sent although that
+        # time is too long, because cost hints are rough.
         is_feasible = (
             cost <= 1.0 or cost * service_time_us * min(1.0, table.mean_load) <= time_to_objective_us
         )
@@ -217,7 +219,7 @@
     def _can_explore(self, request: Request, endpoint: TrackedEndpoint, own_in_flight: float) -> bool:
         """Return whether a request may be sent to an endpoint whatever answer time is predicted.
 
-        This needs an endpoint with almost no attempts of this balancer in flight. A balancer with little
+        This needs an endpoint at which this balancer has no attempt in flight. A balancer with little
         traffic knows too little to shed requests because of an estimate. Exploration is shared out among all
         balancers that sample the endpoint, because otherwise it would sustain an overload: if this balancer's
         share is less than one attempt, only that fraction of its requests may explore. Failed attempts count
--- a/nickelmount/balancer/balancer.py
+++ b/nickelmount/balancer/balancer.py
@@ -218,11 +218,12 @@
         1. If no time or no attempt is left, the request gets its final answer.
         2. If the concurrency limit is reached, the request waits for a free slot if admission allows it, and
            otherwise gets its final answer.
-        3. Two samples are drawn among the eligible endpoints. If none is found, but one of the first
-           MAX_ENDPOINTS_CHECKED allowed endpoints is accepted, all count as busy, and the request waits or
-           gets its final answer as in step 2. If none of them is accepted, a request that was not sent yet
-           repeats these steps until shortly before its objective; any other gets its final answer.
-        4. The samples are probed if that is cheap, and compared. The less loaded one gets the attempt.
+        3. Two samples are drawn among the eligible endpoints; sampling.py defines allowed, accepted and
+           eligible. If none is found, but one of the first MAX_ENDPOINTS_CHECKED allowed endpoints is
+           accepted, all count as busy, and the request waits or gets its final answer as in step 2. If none
+           of those is accepted, a request that was not sent yet repeats these steps after a delay until
+           shortly before its objective; any other gets its final answer.
+        4. Samples of unknown load are probed if probing is enabled. The less loaded one gets the attempt.
         """
         now_us = self.now_us
         self.waiting.discard(request.id)
@@ -263,7 +264,7 @@
     # Probes
 
     def _probe(self, request: Request, pair: tuple[TrackedEndpoint, TrackedEndpoint]) -> None:
-        """Probe the samples if that is cheap and their loads are not known, and then compare them."""
+        """Probe the samples whose loads are not known, if probing is enabled, and then compare the pair."""
         now_us = self.now_us
         for endpoint in self.probing.begin(request, pair, now_us):
             self._emit(SendProbe(endpoint.id))
@@ -424,10 +425,7 @@
         return min(advised_us, self.settings.max_retry_after_us)
 
     def _drop(self, request: Request) -> None:
-        """Cancel the attempts in flight, and forget the request if there are none.
-
-        Otherwise it is forgotten when its last attempt ends.
-        """
+        """Cancel the attempts in flight, and forget the request as soon as no attempt is in flight."""
         self.waiting.discard(request.id)
         self._cancel_attempts(request)
         if not request.in_flight:
--- a/nickelmount/balancer/events.py
+++ b/nickelmount/balancer/events.py
@@ -38,7 +38,7 @@
     ERROR = "error"  # The endpoint answered with an error. The request may have run.
     REJECTED = "rejected"  # The endpoint rejected the request, which never ran.
     TIMEOUT = "timeout"  # No answer came in time. The request may have run or may still be running.
-    # No connection came up, or it broke before the last byte was written. The request never ran.
+    # No connection was established, or it broke before the last byte was written. The request never ran.
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"  # The connection broke. The request may have run.
     CANCELLED = "cancelled"  # The attempt was cancelled. The request may have run or may still be running.
@@ -81,7 +81,7 @@
     timeout_us: int  # The time from now on for which the client waits for the final answer.
     tenant: int = 0  # Index into Settings.tenants.
     cost_us: int = 0  # Approximate processing time on a standard core; 0 if unknown.
-    is_retry: bool = False  # An earlier request of the client was rejected or not answered.
+    is_retry: bool = False  # The client sends a request again that was rejected or not answered.
 
 
 @dataclass(slots=True)
@@ -101,7 +101,7 @@
     endpoint_id: EndpointId
     outcome: Outcome
     latency_us: int  # Time since the start of the attempt, including the time to connect.
-    finished: bool  # The client has its final answer, so the balancer must not give one.
+    finished: bool  # The client has its final answer or has disconnected; the balancer must not answer.
     load_report: tuple[float, ...] = ()  # In the order of Settings.load_report_fields; () if there is none.
 
 
--- a/nickelmount/balancer/hedging.py
+++ b/nickelmount/balancer/hedging.py
@@ -19,7 +19,7 @@
         """Return the time at which to hedge an attempt that is sent now, or None if it is not to be hedged.
 
         It is not hedged if hedging is off, if the request must not run twice, while the typical latency is
-        unknown, or if the answer to a hedge of typical latency would miss the objective.
+        unknown, or if a hedge that takes the typical latency would miss the objective.
         """
         typical_us = table.typical_latency_us
         if not self._is_allowed or not typical_us:
--- a/nickelmount/balancer/load_table.py
+++ b/nickelmount/balancer/load_table.py
@@ -220,8 +220,8 @@
             and self.load_column >= 0
             and self.mean_service_time_us
         ):
-            # The attempt has no report, but the load follows from its latency: at least the requests that an
-            # endpoint of mean speed processes in this time were ahead of the attempt.
+            # The attempt has no report, but the load follows from its latency: at least as many requests were
+            # ahead of it as an endpoint of mean speed processes in this time.
             load = event.latency_us / self.mean_service_time_us
             if load > self.estimated_other_in_flight(endpoint, now_us):
                 endpoint.other_in_flight = load - len(endpoint.in_flight)
--- a/nickelmount/balancer/outlier_detection.py
+++ b/nickelmount/balancer/outlier_detection.py
@@ -6,14 +6,14 @@
   rate is high;
 - after any further failure while it is being readmitted, except that a reset or a failed connect only counts
   as one more failure in a row;
-- for as long as it is unresponsive, which means that at least two attempts are in flight and that no attempt
-  has succeeded for long.
+- for as long as it is unresponsive, which means that at least two attempts are in flight, the oldest of them
+  for more than five typical latencies, and that no attempt has succeeded in that time.
 
 The first ejection lasts half a second, and each further one twice as long as the one before, up to four
-seconds. Jitter of up to a quarter is added or taken off.
-Then the endpoint is readmitted with one attempt in flight, one more after each success, and no limit after
-eight successes. If most endpoints look like outliers, they have a common cause, and all are still sampled,
-because the remaining endpoints would be overloaded.
+seconds. Jitter of up to a quarter is added or taken off. Then the endpoint is readmitted with a limit of one
+attempt in flight, which grows by one with each success and ends after eight successes. If most endpoints look
+like outliers, a common cause is assumed and all of them may be sampled, because the remaining endpoints would
+otherwise be overloaded.
 """
 
 from __future__ import annotations
--- a/nickelmount/balancer/retry.py
+++ b/nickelmount/balancer/retry.py
@@ -66,8 +66,8 @@
     def allows(self, request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
         """Return whether a request may be sent to an endpoint now.
 
-        This is checked when samples are drawn, and again when their probes have ended, because the endpoint
-        list and the dedup window may have changed in between.
+        This is checked when samples are drawn, and again before they are compared, because in between the
+        endpoint list may have changed and the dedup window may have ended.
         """
         if endpoint.status is not EndpointStatus.READY:
             return False
--- a/nickelmount/balancer/sampling.py
+++ b/nickelmount/balancer/sampling.py
@@ -59,7 +59,10 @@
         self._selections_left = 0
 
     def refresh(self, now_us: int) -> None:
-        """Recompute the means and cutoffs over the subset, unless the last ones serve one more selection."""
+        """Recompute the values that depend on the whole subset, such as the means and cutoffs.
+
+        Nothing is recomputed if the last refresh still serves this selection.
+        """
         self._selections_left -= 1
         if self._selections_left >= 0:
             return
@@ -90,7 +93,7 @@
         ) and rules.outliers.admits(endpoint, now_us, table.typical_latency_us)
 
     def _is_silent(self, request: Request, endpoint: TrackedEndpoint, now_us: int) -> bool:
-        """Return whether an endpoint's load was not reported for so long that it seems to answer no more.
+        """Return whether an endpoint seems to have stopped answering, by the time since its last load report.
 
         The time since the last report is scaled by a draw of the request, so that some requests still try the
         endpoint, and by the warm share, because a warming endpoint is reported less often. The usual time is
--- a/nickelmount/balancer/slow_start.py
+++ b/nickelmount/balancer/slow_start.py
@@ -20,9 +20,9 @@
 DRAW_RATE_WINDOW_US = SECOND_US  # Draws are counted over about this time, with exponential decay.
 # Below this overload multiple, the share of a warming endpoint is scaled down in proportion.
 FULL_SHARE_OVERLOAD_MULTIPLE = 4.0
-# Share of its least capacity that an endpoint without load reports may always be offered.
+# An endpoint without load reports may always be offered this share of the capacity that it surely has.
 UNREPORTED_LOAD_SHARE = 0.5
-# Standard deviations of the number of requests that are kept as a margin below the overload limit.
+# Margin below the overload limit, in standard deviations of the number of requests.
 GUARANTEE_DEVIATIONS = 3
 
 
@@ -63,11 +63,11 @@
         self._even_share = 1.0  # An even share of the requests, per unit of warm share.
 
     def refresh(self, endpoints: list[TrackedEndpoint], now_us: int) -> None:
-        """Set where each endpoint's interval starts in the range of the requests' draws.
+        """Set the start of each endpoint's interval, which contains the draws of the requests it admits.
 
-        The starts are spaced so that intervals of an even share lie side by side. If a draw was made for each
-        endpoint instead, about a third of the requests would be admitted by no endpoint while the whole fleet
-        is warming up.
+        The starts are spaced so that intervals of an even share lie side by side. If each endpoint had a draw
+        of its own for each request instead, about a third of the requests would be admitted by no endpoint
+        while the whole fleet is warming up.
         """
         warm_shares = [self.ramp.warm_share(e, now_us) for e in endpoints]
         self._even_share = 1.0 / max(1.0, sum(warm_shares), len(endpoints) / 2)
